--- a/gradehoist/adapter/wire.py
+++ b/gradehoist/adapter/wire.py
@@ -177,7 +177,7 @@
         replica=identifiers.replicas.intern(fields["replica"]),
         attempts=int(fields["number"]),
         failures=int(fields.get("bad", "0")),
-        elapsed_us=seconds_to_us(fields.get("elapsed", "0")),
+        mean_latency_us=seconds_to_us(fields.get("elapsed", "0")),
         window_us=seconds_to_us(fields.get("window", "0")),
         load=identifiers.parse_load(fields),
     )
--- a/gradehoist/fleet_state/replica_table.py
+++ b/gradehoist/fleet_state/replica_table.py
@@ -44,7 +44,7 @@
         self.endpoints: dict[int, Endpoint] = {}
         self.actors: dict[int, ReplicaActor] = {}
         self.positions: dict[int, float] = {}  # on the ring of each zone, from 0 to 1
-        self.waiting: set[int] = set()  # cold replicas that stay withdrawn for now
+        self.held_back: set[int] = set()  # cold replicas that stay withdrawn for now
         self.returning: set[int] = set()  # open replicas whose return is not written yet
         self.unnamed: set[int] = set()  # live replicas that no table of our own proxies names
         self.scarce: list[tuple[int, int]] = []  # zones and sets of classes with too few replicas
@@ -128,7 +128,7 @@
 
     def live(self, ready: Candidates) -> Candidates:
         """Return the candidates that neither wait nor have still to return."""
-        return {n: c for n, c in ready.items() if n not in self.waiting and n not in self.returning}
+        return {n: c for n, c in ready.items() if n not in self.held_back and n not in self.returning}
 
     def open(self) -> dict[int, ReplicaState]:
         """Return the replicas that may get requests."""
@@ -168,9 +168,9 @@
     def set_waiting(self, replica: int, must_wait: bool) -> None:
         """Note whether a replica stays withdrawn for now."""
         if must_wait:
-            self.waiting.add(replica)
+            self.held_back.add(replica)
         else:
-            self.waiting.discard(replica)
+            self.held_back.discard(replica)
 
     def listed(self) -> set[int]:
         """Return the replicas that are not gone, withdrawn ones included.
--- a/gradehoist/governor/load_reports.py
+++ b/gradehoist/governor/load_reports.py
@@ -166,7 +166,7 @@
             replica=key.replica,
             attempts=totals.attempts,
             failures=totals.failures,
-            elapsed_us=round(totals.elapsed_us / successes) if successes else 0,
+            mean_latency_us=round(totals.elapsed_us / successes) if successes else 0,
             window_us=window_us,
             load=totals.load,
         )
--- a/gradehoist/governor/order_reasons.py
+++ b/gradehoist/governor/order_reasons.py
@@ -32,7 +32,7 @@
         return "listed as gone"
     if availability is Availability.EJECTED:
         return f"ejected: most of its attempts fail, {actor.ejections} times now"
-    if replica in policy.fleet.replicas.waiting:
+    if replica in policy.fleet.replicas.held_back:
         return "warming up, waits while the pool is full or too few are back"
     if actor.state.endpoint.phase is Phase.DRAINING:
         return "listed as draining"
--- a/gradehoist/interface.py
+++ b/gradehoist/interface.py
@@ -187,14 +187,14 @@
 class AttemptsReported:
     """What the proxies of one zone measured at a replica over `window_us`.
 
-    `elapsed_us` is the mean latency of the attempts that succeeded.
+    `mean_latency_us` is the mean latency of the attempts that succeeded.
     """
 
     zone: int
     replica: int
     attempts: int
     failures: int
-    elapsed_us: int
+    mean_latency_us: int
     window_us: int
     load: LoadReport | None
 
--- a/gradehoist/messages.py
+++ b/gradehoist/messages.py
@@ -56,7 +56,7 @@
         return AttemptTotals(
             attempts=self.attempts + report.attempts,
             failures=self.failures + report.failures,
-            elapsed_us=self.elapsed_us + report.elapsed_us * succeeded,
+            elapsed_us=self.elapsed_us + report.mean_latency_us * succeeded,
         )
 
     def scaled(self, factor: float) -> AttemptTotals:
--- a/gradehoist/node/core.py
+++ b/gradehoist/node/core.py
@@ -219,7 +219,7 @@
             replica=replica,
             attempts=outcomes.attempts,
             failures=outcomes.failures,
-            elapsed_us=outcomes.elapsed_us,
+            mean_latency_us=outcomes.elapsed_us,
             window_us=outcomes.window_us,
             load=load,
         )
--- a/gradehoist/policy/pool.py
+++ b/gradehoist/policy/pool.py
@@ -77,7 +77,7 @@
         n = state.endpoint.replica
         must_wait = state.is_open and self.replicas.is_cold(n) and self.replicas.has_warm_open()
         if must_wait and not is_restart and not self.replicas.is_scarce(state.endpoint):
-            must_wait = self.calm_us < (CALM if n in self.replicas.waiting else 1)
+            must_wait = self.calm_us < (CALM if n in self.replicas.held_back else 1)
         self.replicas.set_waiting(n, must_wait)
         return must_wait
 
@@ -124,7 +124,7 @@
 
     def _review_waiting(self) -> None:
         for n, state in self.replicas.open().items():
-            has_waited = n in self.replicas.waiting
+            has_waited = n in self.replicas.held_back
             must_wait = self._must_wait(state)
             if has_waited != must_wait:
                 self._set(n, messages.Availability.DRAINING if must_wait else messages.Availability.AVAILABLE)
--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -285,7 +285,7 @@
             replica=n,
             attempts=attempts,
             failures=failures,
-            elapsed_us=200_000,
+            mean_latency_us=200_000,
             window_us=SECOND,
             load=load,
         )
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -285,7 +285,7 @@
             [(0, 4, SECOND), (1, 4, SECOND)] if period == 0 else [(2, 8, 2 * SECOND), (3, 8, 2 * SECOND)]
         )
     assert (
-        taken[0].elapsed_us == 300
+        taken[0].mean_latency_us == 300
         and taken[0].failures == 2
         and taken[0].load == i.LoadReport(0.5, None, None)
     )
