--- a/gradehoist/actors.py
+++ b/gradehoist/actors.py
@@ -38,13 +38,15 @@
         names = [name for name in dir(cls) if name.startswith("_on_")]
         cls.handlers = {_message_type(getattr(cls, name)): getattr(cls, name) for name in names}
 
-    is_singleton: ClassVar[bool] = True  # whether it gets what is published; others are sent their messages
+    receives_published: ClassVar[bool] = (
+        True  # whether it gets what is published; others are sent their messages
+    )
 
     def __init__(self, loop: MessageLoop) -> None:
         """Create an actor whose messages `loop` delivers."""
         self.loop = loop
         self._deferred = set[object]()
-        if self.is_singleton:
+        if self.receives_published:
             loop.subscribe(self)
 
     def defer_once(self, message: object) -> None:
--- a/gradehoist/control_loop.py
+++ b/gradehoist/control_loop.py
@@ -28,15 +28,15 @@
 
 
 class SmoothedLoad:
-    """The smoothed signals of a replica's load reports, and how far they scatter."""
+    """The smoothed signals of a replica's load reports, and how far they deviation."""
 
-    def __init__(self, smoothing: float, scatter_smoothing: float, initial_scatter: float) -> None:
+    def __init__(self, smoothing: float, deviation_smoothing: float, initial_deviation: float) -> None:
         """Create signals without readings; the smoothing factors are the weight of the newest reading."""
         self.busy_share: float | None = None
         self.in_flight: float | None = None
-        self.scatter = initial_scatter  # mean relative distance of a reading from the smoothed signal
+        self.deviation = initial_deviation  # mean relative distance of a reading from the smoothed signal
         self._smoothing = smoothing
-        self._scatter_smoothing = scatter_smoothing
+        self._deviation_smoothing = deviation_smoothing
 
     def update(self, load: LoadReport) -> None:
         """Take a report; a signal that it lacks is dropped."""
@@ -45,7 +45,7 @@
 
     def _smooth(self, old: float | None, new: float | None) -> float | None:
         if old and new is not None:
-            self.scatter += self._scatter_smoothing * (min(1.0, abs(new - old) / old) - self.scatter)
+            self.deviation += self._deviation_smoothing * (min(1.0, abs(new - old) / old) - self.deviation)
         if old is None or new is None:
             return new
         return old + self._smoothing * (new - old)
--- a/gradehoist/fleet_state/fleet.py
+++ b/gradehoist/fleet_state/fleet.py
@@ -49,15 +49,15 @@
     def send_tables(self, planned: Sequence[Tables], live: Collection[int], proxy_zones: set[int]) -> None:
         """Send each group the tables that it should hold; `live` replicas have lines in some of them.
 
-        Those that only groups of zones without proxies of ours name are unnamed: nothing is reported of them.
+        Those that only groups of zones without proxies of ours name are unused: nothing is reported of them.
         """
         withdrawn = self.replicas.listed().difference(live)
-        unnamed = set(live) if proxy_zones else set[int]()
+        unused = set(live) if proxy_zones else set[int]()
         for group, tables in zip(self.groups, planned, strict=True):
             if group.zone in proxy_zones:
-                unnamed.difference_update(*tables.values())
+                unused.difference_update(*tables.values())
             self.loop.send(group, TablesPlanned(tables, withdrawn))
-        self.replicas.unnamed = unnamed
+        self.replicas.unused = unused
 
     def deliver(self, event: Event) -> None:
         """Queue an event for the actors that it concerns; one of an unknown replica is dropped."""
--- a/gradehoist/fleet_state/proxy_groups.py
+++ b/gradehoist/fleet_state/proxy_groups.py
@@ -37,7 +37,7 @@
         self.replicas: list[list[frozenset[int]]] = [[] for _ in zones]  # named by table, by group
         self.is_outdated = [False] * len(zones)  # whether tables differ from the plan, by group
 
-    def smallest(self, zone: int) -> int:
+    def smallest_group(self, zone: int) -> int:
         """Return the group of a zone with the fewest members; the first group where the zone has none."""
         nearby = [group for group, other in enumerate(self.zones) if other == zone] or [0]
         return min(nearby, key=lambda group: (self.sizes[group], group))
@@ -69,10 +69,10 @@
         tables = self.replicas[group]
         named = frozenset[int]().union(*tables)
         extra_lines = self._flow.admission_lines + len(withdrawn & named)
-        relist = self._flow.is_relisted(proxy)
+        lifts_withdrawals = self._flow.may_hold_withdrawals(proxy)
         lines = self._flow.overhead_lines + len(self._groups[group].class_sets) * (1 + extra_lines)
-        lines += sum(map(len, tables)) * (2 if relist else 1)
-        return PendingBind(group, BindToGroup(proxy, extra_lines, relist), lines)
+        lines += sum(map(len, tables)) * (2 if lifts_withdrawals else 1)
+        return PendingBind(group, BindToGroup(proxy, extra_lines, lifts_withdrawals), lines)
 
     def bind_next(self, bind: PendingBind) -> None:
         """Bind the proxy that is due first."""
--- a/gradehoist/fleet_state/replica_actor.py
+++ b/gradehoist/fleet_state/replica_actor.py
@@ -12,7 +12,7 @@
 class ReplicaActor(Actor):
     """The state of one replica, which goes to the pool when it changes; a subclass decides what changes."""
 
-    is_singleton = False
+    receives_published = False
     SLOW_START = 1.0  # part of the weight at which slow start begins; subclasses set it
 
     def __init__(self, loop: MessageLoop, state: ReplicaState, config: PolicyConfig) -> None:
--- a/gradehoist/fleet_state/replica_table.py
+++ b/gradehoist/fleet_state/replica_table.py
@@ -45,9 +45,9 @@
         self.actors: dict[int, ReplicaActor] = {}
         self.positions: dict[int, float] = {}  # on the ring of each zone, from 0 to 1
         self.held_back: set[int] = set()  # cold replicas that stay withdrawn for now
-        self.returning: set[int] = set()  # open replicas whose return is not written yet
-        self.unnamed: set[int] = set()  # live replicas that no table of our own proxies names
-        self.scarce: list[tuple[int, int]] = []  # zones and sets of classes with too few replicas
+        self.readmission_pending: set[int] = set()  # open replicas whose return is not written yet
+        self.unused: set[int] = set()  # live replicas that no table of our own proxies names
+        self.capacity_shortages: list[tuple[int, int]] = []  # zones and sets of classes with too few replicas
         self.states: dict[int, ReplicaState] = {}
         self.zone_count = config.zone_count
         self.class_sets = class_sets
@@ -98,7 +98,7 @@
         """Send a message to the actor of a replica."""
         self._loop.send(self.actors[replica], message)
 
-    def forget(self, replica: int) -> None:
+    def remove(self, replica: int) -> None:
         """Drop all that is known of a replica."""
         del self.actors[replica]
         del self.positions[replica]
@@ -128,7 +128,9 @@
 
     def live(self, ready: Candidates) -> Candidates:
         """Return the candidates that neither wait nor have still to return."""
-        return {n: c for n, c in ready.items() if n not in self.held_back and n not in self.returning}
+        return {
+            n: c for n, c in ready.items() if n not in self.held_back and n not in self.readmission_pending
+        }
 
     def open(self) -> dict[int, ReplicaState]:
         """Return the replicas that may get requests."""
@@ -165,9 +167,9 @@
         """
         return max(0, self._loop.now_us - self._warmup_us)
 
-    def set_waiting(self, replica: int, must_wait: bool) -> None:
+    def set_held_back(self, replica: int, is_held_back: bool) -> None:
         """Note whether a replica stays withdrawn for now."""
-        if must_wait:
+        if is_held_back:
             self.held_back.add(replica)
         else:
             self.held_back.discard(replica)
@@ -184,9 +186,9 @@
         """Whether a replica started too recently to be warm."""
         return self.states[replica].endpoint.started_us > self.warm_since_us()
 
-    def is_scarce(self, endpoint: Endpoint) -> bool:
+    def has_capacity_shortage(self, endpoint: Endpoint) -> bool:
         """Whether some class that may use the endpoint has too few replicas."""
-        return any(self.allows(class_set, endpoint, zone) for zone, class_set in self.scarce)
+        return any(self.allows(class_set, endpoint, zone) for zone, class_set in self.capacity_shortages)
 
     def median_period_us(self, at_least_us: int) -> int:
         """Return the median period that reports of open replicas cover, `at_least_us` if it is shorter."""
@@ -196,9 +198,9 @@
         """Return the mean weight of the open replicas; there has to be one."""
         return fmean(state.weight for state in self.open().values())
 
-    def named(self) -> list[ReplicaState]:
+    def in_use(self) -> list[ReplicaState]:
         """Return the open replicas that tables of our own proxies name."""
-        return [state for n, state in self.open().items() if n not in self.unnamed]
+        return [state for n, state in self.open().items() if n not in self.unused]
 
     def has_warm_open(self) -> bool:
         """Whether some warm replica is open."""
@@ -238,10 +240,10 @@
 
 def saturation(
     states: Collection[ReplicaState],
-    full_busy_share: float,
-    full_failure_share: float,
+    busy_limit: float,
+    failure_limit: float,
     latency_objective_us: int,
-    full_latency_part: float,
+    latency_limit: float,
 ) -> float:
     """Return the highest of the median busy share, failure share and latency, each as a part of its limit.
 
@@ -249,12 +251,10 @@
     made a fresh governor reject half of all requests.
     """
     totals = [s.totals for s in states]
-    busy = [s.busy_share / full_busy_share for s in states if s.busy_share is not None]
-    failing = [t.failures / t.attempts / full_failure_share for t in totals if t.attempts >= 1]
+    busy = [s.busy_share / busy_limit for s in states if s.busy_share is not None]
+    failing = [t.failures / t.attempts / failure_limit for t in totals if t.attempts >= 1]
     late = [
-        t.mean_latency_us / latency_objective_us / full_latency_part
-        for t in totals
-        if t.attempts > t.failures
+        t.mean_latency_us / latency_objective_us / latency_limit for t in totals if t.attempts > t.failures
     ]
     return max(majority_median(signal, len(states)) for signal in (busy, failing, late))
 
--- a/gradehoist/fleet_state/request_rates.py
+++ b/gradehoist/fleet_state/request_rates.py
@@ -72,7 +72,7 @@
         known.rates[report.request_class] = rate
         self.recent_requests[report.request_class] += report.requests
 
-    def take_recent(self, kept: float) -> list[float]:
+    def take_recent_requests(self, kept: float) -> list[float]:
         """Return recent requests by class, and keep the part `kept` of them for the next call.
 
         By what came: guessed in equal parts at joining, the cheap class was cut to nothing for the others.
@@ -83,7 +83,7 @@
 
     def demand(self, zone_count: int) -> Demand:
         """Estimate the demand of the whole fleet from the rates of our own proxies."""
-        rates = self._by_zone(zone_count)
+        rates = self._rates_by_zone(zone_count)
         proxy_zones = [proxy.zone for proxy in self.proxies.values()]
         return Demand(
             shares=self._shares(rates, proxy_zones),
@@ -91,7 +91,7 @@
             proxy_zones=set(proxy_zones),
         )
 
-    def _by_zone(self, zone_count: int) -> list[list[float]]:
+    def _rates_by_zone(self, zone_count: int) -> list[list[float]]:
         proxies = self.proxies.values()
         return [
             [
--- a/gradehoist/fleet_state/table_writer.py
+++ b/gradehoist/fleet_state/table_writer.py
@@ -11,7 +11,7 @@
 class TableWriter(Actor):
     """Some proxies of one zone, which share their tables; a subclass decides what is written."""
 
-    is_singleton = False
+    receives_published = False
 
     def __init__(
         self, loop: MessageLoop, index: int, zone: int, class_sets: Sequence[tuple[int, ...]]
@@ -48,7 +48,7 @@
     def _on_bind_to_group(self, bind: BindToGroup) -> None:
         self.members[bind.proxy] = None
         orders = [BindProxy(bind.proxy, self._table(k), classes) for k, classes in enumerate(self.class_sets)]
-        lines = self.sent.bind_lines(bind.extra_lines, bind.relist)
+        lines = self.sent.bind_lines(bind.extra_lines, bind.lifts_withdrawals)
         self.loop.publish(WriteOrders(orders, [bind.proxy], lines))
 
     def _on_proxy_left(self, left: ProxyLeft) -> None:
--- a/gradehoist/fleet_state/weight_tables.py
+++ b/gradehoist/fleet_state/weight_tables.py
@@ -35,10 +35,10 @@
                 del table[change.replica]
         return new_lines
 
-    def changes(self, planned: Tables, droppable: Set[int], min_move: float) -> Iterator[LineChange]:
-        """Yield the lines that come, leave, or move by more than `min_move` of their weight or of the mean.
+    def changes(self, planned: Tables, retained: Set[int], min_change: float) -> Iterator[LineChange]:
+        """Yield the lines that come, leave, or move by more than `min_change` of their weight or of the mean.
 
-        Those of `droppable` replicas stay. By their own weight alone, moves of light lines, which hardly move
+        Those of `retained` replicas stay. By their own weight alone, moves of light lines, which hardly move
         traffic, were a third of the orders.
         """
         for class_set, weights in planned.items():
@@ -46,10 +46,10 @@
             common = [n for n in weights if weights[n] * sent.get(n, 0)]
             scale = _scale(sent, weights, common)
             mean = fmean(sent[n] for n in common) if common else 0.0
-            for n in sorted(weights.keys() | (sent.keys() - droppable)):
+            for n in sorted(weights.keys() | (sent.keys() - retained)):
                 old = sent.get(n, 0.0)
                 new = weights.get(n, 0.0) * scale
-                if abs(new - old) > min_move * max(old, mean) or (old > 0) != (new > 0):
+                if abs(new - old) > min_change * max(old, mean) or (old > 0) != (new > 0):
                     yield LineChange(class_set, n, new)
 
     def replica_lines(self, planned: Tables, replica: int) -> Iterator[LineChange]:
@@ -61,9 +61,9 @@
                 new = weights.get(replica, 0.0) * _scale(sent, weights, others)
                 yield LineChange(class_set, replica, new)
 
-    def bind_lines(self, extra_lines: int, relist: bool) -> int:
+    def bind_lines(self, extra_lines: int, lifts_withdrawals: bool) -> int:
         """Return how many lines a bind to all tables writes, with `extra_lines` for each of them."""
-        repeats = 2 if relist else 1
+        repeats = 2 if lifts_withdrawals else 1
         return sum(1 + extra_lines + repeats * len(table) for table in self.tables.values())
 
     def replicas(self) -> list[frozenset[int]]:
--- a/gradehoist/flow_control.py
+++ b/gradehoist/flow_control.py
@@ -21,7 +21,7 @@
 )
 from gradehoist.messages import AdmissionChanged, WriteOrders
 
-REVISIONS = 65_536  # revisions are numbers of 16 bits
+REVISION_COUNT = 65_536  # revisions are numbers of 16 bits
 UNLIMITED_MESSAGES = 1e9  # stands for a limit of 0 messages, which means none
 
 
@@ -43,16 +43,16 @@
         self.unacknowledged: dict[int, deque[tuple[int, float]]] = {}  # revision and lines, by proxy
         self.unacknowledged_lines = 0.0
         self.message_times: dict[int, deque[int]] = {}  # within the message window, by proxy
-        self._relisted = set[int]()
+        self._possible_withdrawal_holders = set[int]()
         self._revision = 0
 
     def _on_proxy_joined(self, joined: ProxyJoined) -> None:
         self.unacknowledged[joined.proxy] = deque()
         self.message_times[joined.proxy] = deque()
         if joined.may_hold_withdrawals:
-            self._relisted.add(joined.proxy)
+            self._possible_withdrawal_holders.add(joined.proxy)
         else:
-            self._relisted.discard(joined.proxy)
+            self._possible_withdrawal_holders.discard(joined.proxy)
 
     def _on_proxy_left(self, left: ProxyLeft) -> None:
         self.unacknowledged_lines -= sum(lines for _, lines in self.unacknowledged.pop(left.proxy))
@@ -69,11 +69,11 @@
     def _on_write_orders(self, order: WriteOrders) -> None:
         self.write(order.orders, order.proxies, order.lines, order.new_lines)
 
-    def is_relisted(self, proxy: int) -> bool:
+    def may_hold_withdrawals(self, proxy: int) -> bool:
         """Whether replicas new to the proxy's tables take a line more."""
-        return proxy in self._relisted
+        return proxy in self._possible_withdrawal_holders
 
-    def is_settled(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether every message has been acknowledged."""
         return not any(self.unacknowledged.values())
 
@@ -110,7 +110,7 @@
         pending = self.pending
         for proxy in proxies:
             if proxy in self.unacknowledged:
-                extra = new_lines if proxy in self._relisted else 0
+                extra = new_lines if proxy in self._possible_withdrawal_holders else 0
                 pending[proxy] = pending.get(proxy, self.overhead_lines) + lines + extra
 
     def write_admission(self, proxies: Iterable[int]) -> None:
@@ -122,7 +122,7 @@
     def take_orders(self) -> list[Order]:
         """Close the reply: count its messages as sent; return its orders."""
         if self.pending:
-            self._revision = (self._revision + 1) % REVISIONS
+            self._revision = (self._revision + 1) % REVISION_COUNT
             # To all where all were meant: withdrawals reach holders of the line, others never acknowledge.
             to_all = len(self.pending) >= len(self.unacknowledged)
             self.orders.append(RequestAcknowledgement(revision=self._revision, to_all=to_all))
--- a/gradehoist/messages.py
+++ b/gradehoist/messages.py
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTotals:
-    """Attempts at a replica, with older ones counting less; `elapsed_us` is of those that succeeded."""
+    """Attempts at a replica, with older ones counting less; `latency_sum_us` is of those that succeeded."""
 
     attempts: float = 0.0
     failures: float = 0.0
-    elapsed_us: float = 0.0
+    latency_sum_us: float = 0.0
 
     @property
     def failure_share(self) -> float:
@@ -48,7 +48,7 @@
     @property
     def mean_latency_us(self) -> float:
         """The mean latency of the attempts that succeeded; there has to be one."""
-        return self.elapsed_us / (self.attempts - self.failures)
+        return self.latency_sum_us / (self.attempts - self.failures)
 
     def plus(self, report: AttemptsReported) -> AttemptTotals:
         """Return the totals with those of a report added."""
@@ -56,7 +56,7 @@
         return AttemptTotals(
             attempts=self.attempts + report.attempts,
             failures=self.failures + report.failures,
-            elapsed_us=self.elapsed_us + report.mean_latency_us * succeeded,
+            latency_sum_us=self.latency_sum_us + report.mean_latency_us * succeeded,
         )
 
     def scaled(self, factor: float) -> AttemptTotals:
@@ -64,7 +64,7 @@
         return AttemptTotals(
             attempts=factor * self.attempts,
             failures=factor * self.failures,
-            elapsed_us=factor * self.elapsed_us,
+            latency_sum_us=factor * self.latency_sum_us,
         )
 
 
@@ -172,7 +172,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForgetDue:
+class RetentionExpired:
     """A replica has been gone for so long that it may be forgotten."""
 
     replica: int
@@ -247,12 +247,12 @@
 class BindToGroup:
     """A proxy is bound to a group's tables; `extra_lines` go with each table.
 
-    `relist`: withdrawals that it may hold are lifted, which takes another line for each replica.
+    `lifts_withdrawals`: withdrawals that it may hold are lifted, which takes another line for each replica.
     """
 
     proxy: int
     extra_lines: int
-    relist: bool
+    lifts_withdrawals: bool
 
 
 # To the publisher
@@ -304,13 +304,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolAssessed:
-    """How the pool is: saturated at a `stress` of 1, where its median replica is.
+    """How the pool is: saturated at a `saturation` of 1, where its median replica is.
 
     `requests` are recent ones by class; `period_us` is what reports cover; `is_subsetting`: tables name a
     subset of the replicas only.
     """
 
-    stress: float
+    saturation: float
     success_share: float
     requests: list[float]
     period_us: int
--- a/gradehoist/policy/admission.py
+++ b/gradehoist/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: a saturated pool gets fewer requests, and those of least priority are rejected first."""
+"""Admission control: a saturated pool gets fewer requests, and low-priority classes are cut first."""
 
 from gradehoist import messages
 from gradehoist.actors import SECOND, Actor
@@ -6,30 +6,30 @@
 from gradehoist.interface import QuotasAgreed, SetAdmission
 from gradehoist.numeric import clamp
 
-HOLD = 2 * SECOND  # and two report periods after a cut: only then do reports show what it did
-RECOVERY = 0.2  # per second, of what the stress is under 1: a tenth a second where replicas are half idle
-MIN_SHARE = 0.05  # never all is rejected: what is admitted keeps the reports coming
-MIN_FACTOR, MAX_FACTOR = 0.5, 0.9  # what a cut leaves of what was admitted, by the share of successes
-MIN_CHANGE = 0.05  # of an admission rate that is written; a return to 1 always is
-MARGIN = 1e-6  # keeps rounding from admitting less than all
-FULL = 0.92  # busy share at which queues outgrow the objectives; replicas are never all this busy by chance
-LATE = 0.6  # mean latency as a part of the objective: beyond it the slowest tenth is late
-FAILING = 0.25  # failing part of the attempts at the median replica, which no outlier can bring about
+HOLD_AFTER_CUT_US = 2 * SECOND  # Plus two report periods: earlier reports do not show the effect of a cut.
+RECOVERY_PER_S = 0.2  # Times 1 - saturation: a half-idle pool regains a tenth of all requests a second.
+MIN_ADMITTED_SHARE = 0.05  # Never 0: the replicas' load reports come with the requests that are admitted.
+MIN_CUT_FACTOR, MAX_CUT_FACTOR = 0.5, 0.9  # A cut multiplies by the success share, within these bounds.
+MIN_RATE_CHANGE = 0.05  # A smaller change of an admission rate is not written, unless it is to or from 1.
+ROUNDING_MARGIN = 1e-6  # Keeps rounding errors from admitting slightly less than all requests.
+BUSY_LIMIT = 0.92  # Busy share at which queues outgrow the objectives; a pool is never this busy by chance.
+LATENCY_LIMIT = 0.6  # Mean latency as a part of the objective; above it, the slowest tenth is late.
+FAILURE_LIMIT = 0.25  # Failure share of the median replica, which no outlier can raise.
 
 
-class Admission(Actor):
-    """The share of all requests that is admitted, and its division among classes."""
+class AdmissionController(Actor):
+    """Sets the admitted share of all requests, and divides it among the request classes."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Create a controller that admits all."""
+        """Create a controller that admits all requests."""
         super().__init__(fleet.loop)
         self.is_enabled = fleet.config.admission_enabled
         self.admitted_share = 1.0
         self._hold_until_us = 0
         self._written = [1.0] * len(fleet.config.classes)
-        self._limits = dict[int, float]()  # the fleet's agreed share of each class
-        value = [c.priority_weight / c.latency_objective_us for c in fleet.config.classes]
-        self._by_priority = sorted(range(len(value)), key=lambda k: -value[k])
+        self._limits = dict[int, float]()  # highest share by class, as the governors have agreed
+        priority = [c.priority_weight / c.latency_objective_us for c in fleet.config.classes]
+        self._by_priority = sorted(range(len(priority)), key=lambda k: -priority[k])
 
     def _on_quotas_agreed(self, quotas: QuotasAgreed) -> None:
         self._limits = dict(quotas.admission_limits)
@@ -38,34 +38,34 @@
         self._adjust(pool)
         rates = self._rates(pool.requests)
         changes = zip(rates, self._written, strict=True)
-        if any(abs(new - old) > MIN_CHANGE or (new == 1.0) != (old == 1.0) for new, old in changes):
+        if any(abs(new - old) > MIN_RATE_CHANGE or (new == 1.0) != (old == 1.0) for new, old in changes):
             self._written = rates
-            retries = int(self.admitted_share == 1.0)  # retries only make an overload worse
+            retries = int(self.admitted_share == 1.0)  # Retries would add to an overload.
             orders = [SetAdmission(None, (k,), rate, retries) for k, rate in enumerate(rates)]
             self.loop.publish(messages.AdmissionChanged(orders))
 
     def _adjust(self, pool: messages.PoolAssessed) -> None:
         if self.loop.now_us < self._hold_until_us:
             return
-        if pool.stress > 1 and self.is_enabled:
-            self._hold_until_us = self.loop.now_us + HOLD + 2 * pool.period_us
-            cut = clamp(pool.success_share, MIN_FACTOR, MAX_FACTOR)
-            self.admitted_share = max(MIN_SHARE, self.admitted_share * cut)
+        if pool.saturation > 1 and self.is_enabled:
+            self._hold_until_us = self.loop.now_us + HOLD_AFTER_CUT_US + 2 * pool.period_us
+            cut = clamp(pool.success_share, MIN_CUT_FACTOR, MAX_CUT_FACTOR)
+            self.admitted_share = max(MIN_ADMITTED_SHARE, self.admitted_share * cut)
         else:
-            increase = RECOVERY * (1 - pool.stress) * pool.period_us / SECOND
+            increase = RECOVERY_PER_S * (1 - pool.saturation) * pool.period_us / SECOND
             self.admitted_share = min(1.0, self.admitted_share + increase)
 
     def _rates(self, requests: list[float]) -> list[float]:
-        left = self.admitted_share
+        remaining = self.admitted_share
         rates = [1.0] * len(requests)
         for k in self._by_priority:
             share = max(1e-9, requests[k] / max(1e-9, sum(requests)))
-            limit = max(MIN_SHARE, self._limits.get(k, 1.0))
-            rates[k] = min(clamp(left / share + MARGIN, MIN_SHARE, 1.0), limit)
-            left = max(0.0, left - share)
+            limit = max(MIN_ADMITTED_SHARE, self._limits.get(k, 1.0))
+            rates[k] = min(clamp(remaining / share + ROUNDING_MARGIN, MIN_ADMITTED_SHARE, 1.0), limit)
+            remaining = max(0.0, remaining - share)
         return rates
 
 
-def stress(states: list[messages.ReplicaState], latency_objective_us: int) -> float:
-    """Return how saturated replicas are: 1 where the median one is."""
-    return saturation(states, FULL, FAILING, latency_objective_us, LATE)
+def measure_saturation(states: list[messages.ReplicaState], latency_objective_us: int) -> float:
+    """Return how saturated replicas are: 1 where the median one is at its limit."""
+    return saturation(states, BUSY_LIMIT, FAILURE_LIMIT, latency_objective_us, LATENCY_LIMIT)
--- a/gradehoist/policy/planner.py
+++ b/gradehoist/policy/planner.py
@@ -1,14 +1,14 @@
-"""The policy's entry point: events come in, its actors pass messages, orders go out."""
+"""Entry point of the policy: passes events to its actors, runs them, and returns the orders that result."""
 
 from gradehoist.actors import MessageLoop
 from gradehoist.fleet_state import Fleet, classes_by_limits
 from gradehoist.interface import Event, Order, PolicyConfig
-from gradehoist.policy.admission import Admission
+from gradehoist.policy.admission import AdmissionController
 from gradehoist.policy.pool import Pool
 from gradehoist.policy.publisher import Publisher
 from gradehoist.policy.replica import SMOOTHING
 from gradehoist.policy.subsetting import group_zones
-from gradehoist.policy.tables import Group
+from gradehoist.policy.tables import ProxyGroup
 
 
 class Planner:
@@ -17,20 +17,20 @@
     def __init__(self, config: PolicyConfig, now_us: int) -> None:
         """Create an instance that knows no replicas and no proxies."""
         self.loop = MessageLoop(config.seed, now_us)
-        self.has_key_ranges = config.key_range_count > 0  # which get no orders yet
-        # The most bound classes come first: the zone layer gives them their capacity before the others.
+        self.has_key_ranges = config.key_range_count > 0  # Such a deployment gets no orders yet.
+        # The most restricted classes come first, so that the zone layer gives them capacity first.
         sets = classes_by_limits(config.classes)
         limits = sorted(sets, key=lambda k: (not k.zone_local, not k.allowed_zones, not k.allowed_kinds))
         class_sets = [sets[k] for k in limits]
-        groups = [Group(self.loop, g, zone, class_sets) for g, zone in enumerate(group_zones(config))]
+        groups = [ProxyGroup(self.loop, g, zone, class_sets) for g, zone in enumerate(group_zones(config))]
         self.fleet = Fleet(self.loop, config, groups, class_sets, SMOOTHING)
         self.pool = Pool(self.fleet)
-        self.admission = Admission(self.fleet)
+        self.admission = AdmissionController(self.fleet)
         self.publisher = Publisher(self.fleet)
         self.fleet.subscribe()
 
     def handle(self, now_us: int, events: list[Event]) -> list[Order]:
-        """Take a batch of events; return the orders that follow from it."""
+        """Process a batch of events; return the orders that follow from it."""
         self.loop.now_us = now_us
         for event in [] if self.has_key_ranges else events:
             self.fleet.deliver(event)
--- a/gradehoist/policy/tables.py
+++ b/gradehoist/policy/tables.py
@@ -1,4 +1,4 @@
-"""Tables of a group of proxies: which of their planned changes are written."""
+"""Tables of a group of proxies: which of the planned changes are written."""
 
 from collections.abc import Iterator
 from itertools import islice
@@ -6,20 +6,21 @@
 from gradehoist.fleet_state import LineChange, TableWriter
 from gradehoist.messages import TablesPlanned, WriteTurn
 
-MIN_MOVE = 0.05  # the design's threshold for sending a line
+MIN_WEIGHT_CHANGE = 0.05  # Relative change from which the design sends a line.
 
 
-class Group(TableWriter):
+class ProxyGroup(TableWriter):
     """Some proxies of one zone, which share a table for each set of classes."""
 
     def changes(self, periods: int = 1) -> Iterator[LineChange]:
-        """Yield the planned changes that are worth a line; fewer are for a group that waited for longer."""
-        return self.sent.changes(self.planned, self.withdrawn, periods * MIN_MOVE)
+        """Yield the planned changes worth a line; the threshold rises with the periods waited."""
+        return self.sent.changes(self.planned, self.withdrawn, periods * MIN_WEIGHT_CHANGE)
 
     def _on_tables_planned(self, plan: TablesPlanned) -> None:
         self.planned = plan.tables
         self.withdrawn = plan.withdrawn
-        self.write([] if self.members else list(self.changes()))  # unused, lines cost nothing and stand ready
+        # Without members, lines cost nothing, and the tables are up to date when the first proxy is bound.
+        self.write([] if self.members else list(self.changes()))
 
     def _on_write_turn(self, turn: WriteTurn) -> None:
         most = int(turn.capacity / max(1, len(self.members)))
--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -36,7 +36,7 @@
 
 
 class Private(Recorder):
-    is_singleton = False
+    receives_published = False
 
 
 @pytest.fixture
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -62,16 +62,16 @@
     assert sent.apply([LineChange(0, 1, 0.5), LineChange(0, 2, 0.5)]) == 2
     assert sent.apply([LineChange(0, 1, 0.0), LineChange(0, 2, 0.7)]) == 0
     assert sent.replicas() == [frozenset({2})]
-    assert sent.bind_lines(extra_lines=3, relist=False) == 1 + 3 + 1
-    assert sent.bind_lines(extra_lines=3, relist=True) == 1 + 3 + 2
+    assert sent.bind_lines(extra_lines=3, lifts_withdrawals=False) == 1 + 3 + 1
+    assert sent.bind_lines(extra_lines=3, lifts_withdrawals=True) == 1 + 3 + 2
 
 
 def test_changes_compare_ratios_and_leave_droppable_lines() -> None:
     sent = SentTables(class_set_count=1)
     sent.apply([LineChange(0, n, 1.0) for n in range(4)])
     twice = {0: {n: 2.0 for n in range(3)}}
-    assert not list(sent.changes(twice, droppable={3}, min_move=0.05))
-    assert list(sent.changes(twice, droppable=set(), min_move=0.05)) == [LineChange(0, 3, 0.0)]
+    assert not list(sent.changes(twice, retained={3}, min_change=0.05))
+    assert list(sent.changes(twice, retained=set(), min_change=0.05)) == [LineChange(0, 3, 0.0)]
     assert list(sent.replica_lines(twice, replica=0)) == [LineChange(0, 0, 1.0)]
 
 
@@ -90,8 +90,8 @@
     rates = RequestRates(loop, policy_config(classes=(ANY,)), [(0,)], group_zones=[0], smoothing=0.5)
     publish(loop, ProxyJoined(0, 0, 10.0), RequestsOffered(0, 0, 40, 0, 2 * SECOND))
     assert rates.proxies[0].rates == [15.0]
-    assert rates.take_recent(kept=0.25) == [40.0]
-    assert rates.take_recent(kept=0.25) == [10.0]
+    assert rates.take_recent_requests(kept=0.25) == [40.0]
+    assert rates.take_recent_requests(kept=0.25) == [10.0]
     publish(loop, ProxyLeft(0), RequestsOffered(0, 0, 40, 0, SECOND), ProxyAssigned(0, 0))
     assert not rates.proxies
     assert rates.demand(zone_count=1).group_loads == [0.0]
@@ -107,12 +107,12 @@
 
 
 def test_a_smoothed_signal_that_is_not_reported_any_more_is_dropped() -> None:
-    load = SmoothedLoad(smoothing=0.5, scatter_smoothing=0.1, initial_scatter=0.5)
+    load = SmoothedLoad(smoothing=0.5, deviation_smoothing=0.1, initial_deviation=0.5)
     load.update(LoadReport(busy_share=0.4, in_flight=2.0))
     load.update(LoadReport(busy_share=0.8, in_flight=None))
     assert load.busy_share == pytest.approx(0.6)
     assert load.in_flight is None
-    assert load.scatter == pytest.approx(0.55), "the reading was as far off as the signal is high"
+    assert load.deviation == pytest.approx(0.55), "the reading was as far off as the signal is high"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gradehoist.actors import SECOND, MessageLoop
-from gradehoist.flow_control import REVISIONS, FlowControl
+from gradehoist.flow_control import REVISION_COUNT, FlowControl
 from gradehoist.interface import (
     ChannelLimits,
     CheckHealth,
@@ -22,7 +22,7 @@
 
 
 def flow_control(
-    proxies: int = 2, messages_per_window: int = MESSAGES, relisted: bool = False
+    proxies: int = 2, messages_per_window: int = MESSAGES, may_hold_withdrawals: bool = False
 ) -> FlowControl:
     limits = ChannelLimits(
         queue_limit_lines=QUEUE,
@@ -33,7 +33,9 @@
     )
     flow = FlowControl(MessageLoop(seed=7, now_us=0), limits)
     for proxy in range(proxies):
-        flow.loop.publish(ProxyJoined(proxy=proxy, zone=0, request_rate=1.0, may_hold_withdrawals=relisted))
+        flow.loop.publish(
+            ProxyJoined(proxy=proxy, zone=0, request_rate=1.0, may_hold_withdrawals=may_hold_withdrawals)
+        )
     flow.loop.run()
     return flow
 
@@ -62,12 +64,12 @@
     first, second = send(flow, lines=0), send(flow, 0, lines=2)
     assert available(flow) == 50 - (3 + OVERHEAD + 1) - (2 + OVERHEAD + 1)
     acknowledge(flow, 1, second)
-    assert not flow.is_settled(), "another proxy's acknowledgement frees nothing"
+    assert not flow.is_idle(), "another proxy's acknowledgement frees nothing"
     acknowledge(flow, 0, first)
     assert available(flow) == 50 - (2 + OVERHEAD + 1)
     acknowledge(flow, 0, second)
     assert available(flow) == 50
-    assert flow.is_settled()
+    assert flow.is_idle()
 
 
 def test_an_acknowledgement_is_of_all_revisions_up_to_it() -> None:
@@ -117,11 +119,11 @@
     assert set(flow.pending) == {1}
 
 
-@pytest.mark.parametrize(("relisted", "lines"), [(False, 5), (True, 7)])
+@pytest.mark.parametrize(("may_hold_withdrawals", "lines"), [(False, 5), (True, 7)])
 def test_lines_of_replicas_new_to_a_table_count_twice_where_withdrawals_may_be_held(
-    relisted: bool, lines: int
+    may_hold_withdrawals: bool, lines: int
 ) -> None:
-    flow = flow_control(relisted=relisted)
+    flow = flow_control(may_hold_withdrawals=may_hold_withdrawals)
     flow.write([ORDER], [0], 5, new_lines=2)
     assert flow.pending[0] == OVERHEAD + 1 + lines
 
@@ -154,7 +156,7 @@
 def test_revisions_wrap() -> None:
     flow = flow_control(messages_per_window=0)
     revisions = []
-    for _ in range(REVISIONS + 1):
+    for _ in range(REVISION_COUNT + 1):
         revisions.append(send(flow, 0))
         acknowledge(flow, 0, revisions[-1])
-    assert revisions[-3:] == [REVISIONS - 1, 0, 1]
+    assert revisions[-3:] == [REVISION_COUNT - 1, 0, 1]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -38,7 +38,7 @@
     WithdrawReplica,
 )
 from gradehoist.messages import Availability, Tables
-from gradehoist.policy.tables import Group
+from gradehoist.policy.tables import ProxyGroup
 from tests.support.policy_fleet import (
     ANY,
     BOUND,
@@ -530,7 +530,7 @@
 
 def test_a_light_line_is_written_when_its_move_counts_and_always_when_it_comes_or_leaves() -> None:
     """By their own weight alone, moves that hardly move traffic were a third of the orders."""
-    group = Group(MessageLoop(seed=7, now_us=0), index=0, zone=0, class_sets=[(0,)])
+    group = ProxyGroup(MessageLoop(seed=7, now_us=0), index=0, zone=0, class_sets=[(0,)])
     group.sent.tables = {0: {0: 1.0, 1: 1.0, 2: 0.02, 3: 0.02}}
     group.planned = {0: {0: 1.0, 1: 1.0, 2: 0.03, 3: 0.02}}
     assert not list(group.changes())
@@ -575,7 +575,7 @@
     fleet = running_fleet()
     fleet.step(change(*(endpoint(n, DRAINING) for n in (0, 1))), wait=SECOND // 50)
     fleet.run(2)
-    fleet.policy.publisher.next_round_us = fleet.now_us
+    fleet.policy.publisher.next_broadcast_us = fleet.now_us
     fleet.policy.fleet.withdrawals.pending = {0: Availability.AVAILABLE, 1: Availability.AVAILABLE}
     fleet.policy.fleet.flow.admission_orders = [SetAdmission(None, (0,), 0.5, 0)]
     orders = fleet.step(wait=SECOND)
