--- a/gradehoist/fleet_state/__init__.py
+++ b/gradehoist/fleet_state/__init__.py
@@ -1,4 +1,4 @@
-"""What a policy knows of its fleet and has written to it: records and accounts. Nothing in it decides."""
+"""State that a policy keeps of its fleet: what it knows and what it has written. It makes no decisions."""
 
 from gradehoist.fleet_state.fleet import Fleet
 from gradehoist.fleet_state.period_timer import PeriodTimer
--- a/gradehoist/fleet_state/endpoint_subscription.py
+++ b/gradehoist/fleet_state/endpoint_subscription.py
@@ -1,4 +1,4 @@
-"""Subscription to the endpoint list, where the deployment asks for one."""
+"""Subscription to the endpoint list, in deployments that require one."""
 
 from gradehoist.actors import Actor, MessageLoop
 from gradehoist.interface import EndpointListKind, EndpointsListed, SubscribeEndpoints
@@ -6,10 +6,10 @@
 
 
 class EndpointSubscription(Actor):
-    """Subscribes at the start, and again each time a list fails."""
+    """Subscribes at the start, and again each time the endpoint list could not be fetched."""
 
     def __init__(self, loop: MessageLoop, must_subscribe: bool) -> None:
-        """Subscribe for the first time."""
+        """Create the actor and subscribe, if the deployment requires it."""
         super().__init__(loop)
         self._must_subscribe = must_subscribe
         self._subscribe()
--- a/gradehoist/fleet_state/fleet.py
+++ b/gradehoist/fleet_state/fleet.py
@@ -1,4 +1,4 @@
-"""All that a policy knows of its fleet, in one place."""
+"""The state that a policy keeps of its fleet."""
 
 from collections.abc import Collection, Sequence
 from itertools import product
@@ -16,7 +16,7 @@
 
 
 class Fleet:
-    """The records of a fleet; its actors take messages before those that decide."""
+    """The state of a fleet. Its actors are created, and get each message, before those of the policy."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         class_sets: Sequence[tuple[int, ...]],
         smoothing: float,
     ) -> None:
-        """Create the records of an empty fleet; `smoothing` is the weight of the newest request rates."""
+        """Create the state of an empty fleet; `smoothing` is the weight of the newest request rates."""
         self.loop = loop
         self.config = config
         self.groups = groups
@@ -38,18 +38,19 @@
         self.replicas = ReplicaTable(loop, config, class_sets)
 
     def subscribe(self) -> None:
-        """Subscribe to the endpoint list, where the deployment asks for it."""
+        """Subscribe to the endpoint list, if the deployment requires it."""
         EndpointSubscription(self.loop, self.config.load_reporting.must_subscribe)
 
     def write_replicas(self, replicas: Sequence[int]) -> None:
-        """Have all groups write their lines of these replicas."""
+        """Make all groups write their lines for these replicas."""
         for group, replica in product(self.groups, replicas):
             self.loop.send(group, WriteReplica(replica))
 
     def send_tables(self, planned: Sequence[Tables], live: Collection[int], proxy_zones: set[int]) -> None:
-        """Send each group the tables that it should hold; `live` replicas have lines in some of them.
+        """Send each group the tables that it should hold; `live` are the replicas with lines in them.
 
-        Those that only groups of zones without proxies of ours name are unused: nothing is reported of them.
+        Replicas with lines only for groups of zones without own proxies are unused: no proxy reports their
+        load.
         """
         withdrawn = self.replicas.listed().difference(live)
         unused = set(live) if proxy_zones else set[int]()
@@ -60,7 +61,7 @@
         self.replicas.unused = unused
 
     def deliver(self, event: Event) -> None:
-        """Queue an event for the actors that it concerns; one of an unknown replica is dropped."""
+        """Queue an event for the actors that handle it; events about unknown replicas are dropped."""
         if not isinstance(event, AttemptsReported | HealthChecked):
             self.loop.publish(event)
         elif event.replica in self.replicas.actors:
--- a/gradehoist/fleet_state/proxy_groups.py
+++ b/gradehoist/fleet_state/proxy_groups.py
@@ -1,4 +1,4 @@
-"""Groups of proxies that share tables: members, those still to be bound, and what their tables name."""
+"""Groups of proxies that share tables: their members, pending binds, and the replicas in their tables."""
 
 import heapq
 from collections.abc import Sequence, Set
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingBind:
-    """The bind that is next; `lines` is all that it writes to the proxy."""
+    """The next bind; `lines` is the total that it writes to the proxy."""
 
     group: int
     message: BindToGroup
@@ -21,7 +21,7 @@
 
 
 class ProxyGroups(Actor):
-    """Who belongs to which group; when a proxy is bound is the caller's decision."""
+    """Registry of the proxies by group; the caller decides when a proxy is bound."""
 
     def __init__(self, loop: MessageLoop, flow: FlowControl, groups: Sequence[TableWriter]) -> None:
         """Create the registry of `groups`, which have no members yet."""
@@ -32,18 +32,18 @@
         zones = self.zones
         self.sizes = [0] * len(zones)
         self.group_by_proxy: dict[int, int] = {}
-        self.pending_binds: list[tuple[int, float, int]] = []  # heap of slot, minus the rate, proxy
-        self.bound: list[dict[int, None]] = [{} for _ in zones]  # members, in the order of binding
-        self.replicas: list[list[frozenset[int]]] = [[] for _ in zones]  # named by table, by group
-        self.is_outdated = [False] * len(zones)  # whether tables differ from the plan, by group
+        self.pending_binds: list[tuple[int, float, int]] = []  # heap of (slot, -request rate, proxy)
+        self.bound: list[dict[int, None]] = [{} for _ in zones]  # by group: members in the order of binding
+        self.replicas: list[list[frozenset[int]]] = [[] for _ in zones]  # by group, then by table
+        self.is_outdated = [False] * len(zones)  # by group: whether its tables differ from the plan
 
     def smallest_group(self, zone: int) -> int:
-        """Return the group of a zone with the fewest members; the first group where the zone has none."""
+        """Return the group of a zone with the fewest members, or group 0 if the zone has no group."""
         nearby = [group for group, other in enumerate(self.zones) if other == zone] or [0]
         return min(nearby, key=lambda group: (self.sizes[group], group))
 
     def add_proxy(self, proxy: int, group: int, slot: int, rate: float) -> None:
-        """Add a member, to be bound after those of earlier slots and those of its slot with higher rates."""
+        """Add a proxy, to be bound after those of earlier time slots, and in its slot after higher rates."""
         self.group_by_proxy[proxy] = group
         self.sizes[group] += 1
         heapq.heappush(self.pending_binds, (slot, -rate, proxy))
@@ -55,7 +55,9 @@
         self.sizes[group] -= 1
         if left.proxy in self.bound[group]:
             del self.bound[group][left.proxy]
-        else:  # for those alone: a thousand that left each sorted them all
+        else:
+            # Rebuilding the heap for bound proxies too made it a sort of all binds for each of a thousand
+            # proxies that left.
             self.pending_binds = sorted(bind for bind in self.pending_binds if bind[2] != left.proxy)
 
     def _on_tables_written(self, written: TablesWritten) -> None:
@@ -63,7 +65,10 @@
         self.replicas[written.group] = written.replicas
 
     def next_bind(self, withdrawn: Set[int]) -> PendingBind:
-        """Return the bind that is due first, as the tables are now; they leave `withdrawn` replicas out."""
+        """Return the next bind and its cost, by the current tables.
+
+        The bind writes one more line for each replica of a table that is in `withdrawn`.
+        """
         proxy = self.pending_binds[0][2]
         group = self.group_by_proxy[proxy]
         tables = self.replicas[group]
@@ -75,14 +80,14 @@
         return PendingBind(group, BindToGroup(proxy, extra_lines, lifts_withdrawals), lines)
 
     def bind_next(self, bind: PendingBind) -> None:
-        """Bind the proxy that is due first."""
+        """Write the next bind, which `next_bind` has returned."""
         heapq.heappop(self.pending_binds)
         self.bound[bind.group][bind.message.proxy] = None
         self._flow.reserved_lines += bind.lines
         self.loop.send(self._groups[bind.group], bind.message)
 
     def holders(self, replica: int) -> list[int]:
-        """Return the bound proxies whose tables name a replica."""
+        """Return the bound proxies that have a line for a replica."""
         return [
             proxy
             for tables, members in zip(self.replicas, self.bound, strict=True)
@@ -91,11 +96,11 @@
         ]
 
     def open_share(self, group: int, withdrawn: Set[int]) -> float:
-        """Return the part of a group's lines that is not withdrawn, and gets all; of its worst table."""
+        """Return the share of a group's lines that is not withdrawn, in the table where it is smallest."""
         return min((1 + len(table - withdrawn)) / (1 + len(table)) for table in self.replicas[group])
 
     def mean_holders(self) -> float:
-        """Return how many bound proxies have a line for a replica in their first table, on average."""
+        """Return how many bound proxies have a line for a replica on average, by their first tables."""
         lines = sum(
             len(members) * len(self.replicas[group][0]) for group, members in enumerate(self.bound) if members
         )
--- a/gradehoist/fleet_state/replica_actor.py
+++ b/gradehoist/fleet_state/replica_actor.py
@@ -1,4 +1,4 @@
-"""Bookkeeping of one replica's actor: its state, its load reports, and the progress of its slow start."""
+"""State of one replica's actor: load reports and the progress of its slow start."""
 
 from dataclasses import replace
 
@@ -10,41 +10,41 @@
 
 
 class ReplicaActor(Actor):
-    """The state of one replica, which goes to the pool when it changes; a subclass decides what changes."""
+    """Keeps the state of one replica and sends it to the pool; a subclass decides how it changes."""
 
     receives_published = False
-    SLOW_START = 1.0  # part of the weight at which slow start begins; subclasses set it
+    SLOW_START = 1.0  # share of the weight at which slow start begins; set by subclasses
 
     def __init__(self, loop: MessageLoop, state: ReplicaState, config: PolicyConfig) -> None:
-        """Create the actor of a replica that is listed for the first time."""
+        """Create the actor of a replica that appears in the endpoint list for the first time."""
         super().__init__(loop)
         self.state = state
         self.config = config
         self._restart()
 
     def _restart(self) -> None:
-        # Only the weight and the report period outlast a restart.
+        # Only the weight and the report period are kept over a restart of the replica.
         warmup_us = self.config.safety.warmup_us
         started_us = self.state.endpoint.started_us
         self.start_ramp(started_us if started_us > 0 else -warmup_us, warmup_us)
         self.state = ReplicaState(self.state.endpoint, self.state.weight, self.state.period_us)
         self.new_load: LoadReport | None = None
-        self.ejections = 0  # since the start
+        self.ejections = 0  # since the replica started
 
     def start_ramp(self, start_us: int, length_us: int) -> None:
-        """Let slow start last from `start_us` for `length_us`."""
+        """Begin a slow start that lasts from `start_us` for `length_us`."""
         self._ramp_start_us = start_us
         self._ramp_us = length_us
 
     def publish_state(self) -> None:
-        """Send the state to the pool, with the part of the weight that slow start allows now."""
+        """Send the state to the pool, with the share of the weight that slow start allows now."""
         progress = (self.loop.now_us - self._ramp_start_us) / max(1, self._ramp_us)
         slow_start = self.SLOW_START + (1 - self.SLOW_START) * clamp(progress, 0.0, 1.0)
         self.state = replace(self.state, slow_start=slow_start)
         self.loop.publish(ReplicaChanged(self.state))
 
     def report_load(self, load: SmoothedLoad) -> None:
-        """Take over the smoothed load, in which the last report is contained."""
+        """Copy the smoothed load into the state, after `load` was updated with the last report."""
         self.new_load = None
         self.state = replace(
             self.state, busy_share=load.busy_share, in_flight=load.in_flight, reported_us=self.loop.now_us
@@ -58,12 +58,12 @@
     def _on_endpoint_changed(self, changed: EndpointChanged) -> None:
         has_restarted = changed.endpoint.started_us > self.state.endpoint.started_us
         self.state = replace(self.state, endpoint=changed.endpoint)
-        if has_restarted:  # perhaps without being listed as gone
+        if has_restarted:  # It need not have been listed as gone in between.
             self._restart()
         self.publish_state()
 
     def add_report(self, report: AttemptsReported, window_us: int, smoothing: float) -> None:
-        """Count attempts; move the period toward `window_us`, by the part `smoothing` of the difference."""
+        """Add a report to the totals, and smooth the report period with its `window_us`."""
         self.new_load = report.load or self.new_load
         period_us = self.state.period_us
         period_us += int(smoothing * (window_us - period_us))
--- a/gradehoist/fleet_state/replica_retention.py
+++ b/gradehoist/fleet_state/replica_retention.py
@@ -1,4 +1,4 @@
-"""Removal of replicas that stay gone; how long they are kept is the caller's decision."""
+"""Removal of replicas that stay gone for the retention time that the caller sets."""
 
 from collections.abc import Callable
 
@@ -9,12 +9,12 @@
 
 
 class ReplicaRetention(Actor):
-    """Has the withdrawal of a replica lifted that was gone for long, and forgets it with that."""
+    """Lifts the withdrawal of a replica whose retention time has passed, and removes it at that moment."""
 
     def __init__(
         self, loop: MessageLoop, replicas: ReplicaTable, delay_us: int, on_removed: Callable[[], None]
     ) -> None:
-        """Create a record of no replicas; `on_removed` is called for each that is forgotten."""
+        """Create a tracker without replicas; `on_removed` is called for each one that is removed."""
         super().__init__(loop)
         self._replicas = replicas
         self._delay_us = delay_us
@@ -22,18 +22,18 @@
         self._removable: set[int] = set()
 
     def track(self, state: ReplicaState) -> None:
-        """Forget a replica that has gone and is still gone later; keep one that came back."""
+        """Start the retention time of a replica that is gone; keep one that has come back."""
         replica = state.endpoint.replica
         if state.endpoint.phase is Phase.GONE:
             self.loop.schedule(self._delay_us, self, RetentionExpired(replica))
         else:
             self._removable.discard(replica)
 
-    def _on_retention_expired(self, due: RetentionExpired) -> None:
-        state = self._replicas.states.get(due.replica)
+    def _on_retention_expired(self, expired: RetentionExpired) -> None:
+        state = self._replicas.states.get(expired.replica)
         if state is not None and state.endpoint.phase is Phase.GONE:
-            self._removable.add(due.replica)
-            self.loop.publish(LiftWithdrawal(due.replica))
+            self._removable.add(expired.replica)
+            self.loop.publish(LiftWithdrawal(expired.replica))
 
     def _on_replicas_readmitted(self, readmitted: ReplicasReadmitted) -> None:
         for replica in self._removable.intersection(readmitted.replicas):
--- a/gradehoist/fleet_state/replica_table.py
+++ b/gradehoist/fleet_state/replica_table.py
@@ -1,4 +1,4 @@
-"""The states of all replicas, and which of them the settings let a class of requests use."""
+"""The states of all replicas, and which of them each request class may use."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A replica that may get a line, and the weight that it is planned with."""
+    """A replica that may get a line in a table, and its planned weight."""
 
     endpoint: Endpoint
     weight: float
@@ -33,28 +33,28 @@
 
 
 class ReplicaTable:
-    """Replicas by index: what the endpoint list has of them, and what their actors report."""
+    """Replicas by index: their entries in the endpoint list, and the states that their actors publish."""
 
     def __init__(
         self, loop: MessageLoop, config: PolicyConfig, class_sets: Sequence[tuple[int, ...]]
     ) -> None:
-        """Create an empty table; the classes of one set have the same placement limits."""
+        """Create an empty table; the classes of a class set have the same placement limits."""
         self._loop = loop
         self._warmup_us = config.safety.warmup_us
         self.endpoints: dict[int, Endpoint] = {}
         self.actors: dict[int, ReplicaActor] = {}
-        self.positions: dict[int, float] = {}  # on the ring of each zone, from 0 to 1
+        self.positions: dict[int, float] = {}  # on the ring of the replica's zone, from 0 to 1
         self.held_back: set[int] = set()  # cold replicas that stay withdrawn for now
-        self.readmission_pending: set[int] = set()  # open replicas whose return is not written yet
-        self.unused: set[int] = set()  # live replicas that no table of our own proxies names
-        self.capacity_shortages: list[tuple[int, int]] = []  # zones and sets of classes with too few replicas
+        self.readmission_pending: set[int] = set()  # open replicas whose readmission is not written yet
+        self.unused: set[int] = set()  # live replicas without a line in the tables of own proxies
+        self.capacity_shortages: list[tuple[int, int]] = []  # (zone, class set) with too little capacity
         self.states: dict[int, ReplicaState] = {}
         self.zone_count = config.zone_count
         self.class_sets = class_sets
         self._limits = [config.classes[members[0]] for members in class_sets]
 
     def update_endpoints(self, listed: EndpointsListed) -> list[Endpoint]:
-        """Take an endpoint list; return the entries that changed, those that it leaves out as gone."""
+        """Apply an endpoint list; return the changed entries. A complete list marks missing ones as gone."""
         if listed.kind is EndpointListKind.FAILED:
             return []
         entries = {endpoint.replica: endpoint for endpoint in listed.endpoints}
@@ -66,31 +66,34 @@
         return changed
 
     def mean_size(self) -> float:
-        """Return the mean size of the ready endpoints, 1 if there are none; one without size counts as 1."""
+        """Return the mean size of the ready endpoints, or 1 if there are none; a size of 0 counts as 1."""
         return fmean([e.size or 1 for e in self.endpoints.values() if e.phase is Phase.READY] or [1])
 
     def update(self, state: ReplicaState) -> bool:
-        """Take a replica's new state; return whether tables and withdrawals have to be reconsidered."""
+        """Store a replica's new state; return whether tables and withdrawals have to be reconsidered."""
         replica = state.endpoint.replica
         if replica not in self.actors:
-            return False  # the last message of one just forgotten
+            return False  # A removed replica's actor may still have sent a message.
         old = self.states.get(replica)
         self.states[replica] = state
         self.zone_count = max(self.zone_count, state.endpoint.zone + 1)
         return not state.is_routed_like(old)
 
     def add(self, actor: ReplicaActor) -> None:
-        """Add a replica that is listed for the first time, at a random position of its ring."""
+        """Add a replica that is listed for the first time, at a random position of its zone's ring."""
         replica = actor.state.endpoint.replica
         self.actors[replica] = actor
         self.positions[replica] = self._loop.random()
 
     def mark_ejecting(self, replica: int) -> None:
-        """Count a replica as ejected at once, or each one of a batch would pass as the first."""
+        """Count a replica as ejected before its actor confirms it.
+
+        Otherwise, all replicas that fail in one batch could be ejected, each as if it were the first.
+        """
         self.states[replica] = replace(self.states[replica], is_ejecting=True)
 
     def ring(self, zone: int, replicas: Iterable[int]) -> list[int]:
-        """Return those of the replicas that are in a zone, by their positions on its ring."""
+        """Return the replicas that are in a zone, ordered by their positions on its ring."""
         members = [replica for replica in replicas if self.endpoints[replica].zone == zone]
         return sorted(members, key=lambda replica: self.positions[replica])
 
@@ -99,7 +102,7 @@
         self._loop.send(self.actors[replica], message)
 
     def remove(self, replica: int) -> None:
-        """Drop all that is known of a replica."""
+        """Remove a replica and all that is known of it."""
         del self.actors[replica]
         del self.positions[replica]
         del self.endpoints[replica]
@@ -111,23 +114,23 @@
             self._loop.send(actor, message)
 
     def allows(self, class_set: int, endpoint: Endpoint, zone: int) -> bool:
-        """Whether requests of a set of classes, from proxies of a zone, may be sent to an endpoint."""
+        """Return whether proxies of a zone may send requests of a class set to an endpoint."""
         return self._limits[class_set].allows(endpoint, zone)
 
     def allowed(self, class_set: int, zone: int, candidates: Candidates) -> Candidates:
-        """Return the candidates that a set of classes may use from a zone."""
+        """Return the candidates that proxies of a zone may use for a class set."""
         allows = self._limits[class_set].allows
         return {n: c for n, c in candidates.items() if allows(c.endpoint, zone)}
 
     def candidates(self, quotas: Mapping[int, float], min_quota: float) -> Candidates:
-        """Return the open replicas, each with its weight under slow start and its quota."""
+        """Return the open replicas, each with its weight multiplied by its slow start and its quota."""
         return {
             n: Candidate(state.endpoint, state.weight * state.slow_start * max(min_quota, quotas.get(n, 1.0)))
             for n, state in self.open().items()
         }
 
     def live(self, ready: Candidates) -> Candidates:
-        """Return the candidates that neither wait nor have still to return."""
+        """Return the candidates that are neither held back nor still to be readmitted."""
         return {
             n: c for n, c in ready.items() if n not in self.held_back and n not in self.readmission_pending
         }
@@ -145,9 +148,9 @@
         return [state for state in self.states.values() if state.is_ready]
 
     def peers(self, endpoint: Endpoint) -> Iterator[dict[int, bool]]:
-        """Yield for each set of classes and zone that may use an endpoint the others that it may use.
+        """Yield, for each class set and zone that may use an endpoint, all replicas that these may use.
 
-        They are ready and warm; the values say which of them are open.
+        Only ready and warm replicas are included; the values say which of them are open.
         """
         warm_since_us = self.warm_since_us()
         for class_set, zone in product(range(len(self.class_sets)), range(self.zone_count)):
@@ -161,14 +164,14 @@
                 }
 
     def warm_since_us(self) -> int:
-        """Return the time by which a replica that is warm by now has started.
+        """Return the latest start time of a replica that is warm now.
 
-        At least 0: also on a machine just booted, a start long past is reported as 0.
+        It is not below 0: a start long ago is reported as 0, also when the clock is younger than the warm-up.
         """
         return max(0, self._loop.now_us - self._warmup_us)
 
     def set_held_back(self, replica: int, is_held_back: bool) -> None:
-        """Note whether a replica stays withdrawn for now."""
+        """Set whether a cold replica is held back, that is, kept withdrawn for now."""
         if is_held_back:
             self.held_back.add(replica)
         else:
@@ -177,40 +180,40 @@
     def listed(self) -> set[int]:
         """Return the replicas that are not gone, withdrawn ones included.
 
-        Lines of those that are gone leave tables: binds would grow by them, and joining take longer than a
-        drain's grace.
+        The lines of replicas that are gone are removed from tables: otherwise binds would grow, and joining
+        would take longer than a drain's grace.
         """
         return {n for n, state in self.states.items() if state.endpoint.phase is not Phase.GONE}
 
     def is_cold(self, replica: int) -> bool:
-        """Whether a replica started too recently to be warm."""
+        """Return whether a replica started too recently to be warm."""
         return self.states[replica].endpoint.started_us > self.warm_since_us()
 
     def has_capacity_shortage(self, endpoint: Endpoint) -> bool:
-        """Whether some class that may use the endpoint has too few replicas."""
+        """Return whether a class set that may use the endpoint has too little capacity."""
         return any(self.allows(class_set, endpoint, zone) for zone, class_set in self.capacity_shortages)
 
     def median_period_us(self, at_least_us: int) -> int:
-        """Return the median period that reports of open replicas cover, `at_least_us` if it is shorter."""
+        """Return the median report period of the open replicas, at least `at_least_us`."""
         return int(max(at_least_us, median([s.period_us for s in self.open().values()] or [0])))
 
     def mean_weight(self) -> float:
-        """Return the mean weight of the open replicas; there has to be one."""
+        """Return the mean weight of the open replicas; at least one must be open."""
         return fmean(state.weight for state in self.open().values())
 
     def in_use(self) -> list[ReplicaState]:
-        """Return the open replicas that tables of our own proxies name."""
+        """Return the open replicas that have lines in the tables of own proxies."""
         return [state for n, state in self.open().items() if n not in self.unused]
 
     def has_warm_open(self) -> bool:
-        """Whether some warm replica is open."""
+        """Return whether any warm replica is open."""
         warm_since_us = self.warm_since_us()
         return any(s.is_open and s.endpoint.started_us <= warm_since_us for s in self.states.values())
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementLimits:
-    """Where requests of a class may be sent."""
+    """The replicas that requests of a class may be sent to."""
 
     allowed_zones: tuple[int, ...] | None
     allowed_kinds: tuple[int, ...] | None
@@ -218,7 +221,7 @@
 
 
 def classes_by_limits(classes: Sequence[RequestClass]) -> dict[PlacementLimits, tuple[int, ...]]:
-    """Return the indices of the classes with the same limits, by these limits."""
+    """Return the indices of the classes, grouped by their placement limits."""
     by_limits: dict[PlacementLimits, list[int]] = {}
     for index, request_class in enumerate(classes):
         limits = PlacementLimits(
@@ -245,10 +248,10 @@
     latency_objective_us: int,
     latency_limit: float,
 ) -> float:
-    """Return the highest of the median busy share, failure share and latency, each as a part of its limit.
+    """Return the highest of the median busy share, failure share and latency, each relative to its limit.
 
-    A signal counts where most of the replicas have readings of it: the first one that reported, a slow one,
-    made a fresh governor reject half of all requests.
+    A signal counts only if a majority of the replicas have readings of it. Without this rule, the first
+    replica to report, a slow one, made a newly started governor reject half of all requests.
     """
     totals = [s.totals for s in states]
     busy = [s.busy_share / busy_limit for s in states if s.busy_share is not None]
--- a/gradehoist/fleet_state/request_rates.py
+++ b/gradehoist/fleet_state/request_rates.py
@@ -1,4 +1,4 @@
-"""Request rates that proxies report, and the demand of the whole fleet estimated from them."""
+"""Request rates reported by proxies, and the fleet's total demand estimated from them."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Shares of the fleet's requests by zone of the proxies, then by set of classes.
+    """The fleet's demand: `shares` of all requests by zone of the proxies, then by class set.
 
-    `group_loads` are the loads of our groups of proxies, as multiples of the mean of their zone's groups;
-    `proxy_zones` the zones that our own proxies are in.
+    `group_loads` are the loads of this governor's groups of proxies, as multiples of the mean of their zone's
+    groups; `proxy_zones` are the zones that its own proxies are in.
     """
 
     shares: list[list[float]]
@@ -30,7 +30,7 @@
 
 
 class RequestRates(Actor):
-    """Request rates of all proxies that are connected."""
+    """Request rates of the proxies that are connected to this governor."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         group_zones: Sequence[int],
         smoothing: float,
     ) -> None:
-        """Create the record of a fleet without proxies; `smoothing` is the weight of the newest report."""
+        """Create the rates of a fleet without proxies; `smoothing` is the weight of the newest report."""
         super().__init__(loop)
         self.proxies: dict[int, ProxyRates] = {}
         self.recent_requests = [0.0] * len(config.classes)
@@ -52,11 +52,11 @@
 
     def _on_proxy_joined(self, joined: ProxyJoined) -> None:
         class_count = len(self.recent_requests)
-        rate = joined.request_rate / class_count  # in equal parts until its reports come
+        rate = joined.request_rate / class_count  # Classes count as equal until the proxy reports.
         self.proxies[joined.proxy] = ProxyRates(joined.zone, [rate] * class_count)
 
     def _on_proxy_assigned(self, assigned: ProxyAssigned) -> None:
-        if assigned.proxy in self.proxies:  # it may have left in the same batch
+        if assigned.proxy in self.proxies:  # The proxy may have left in the same batch.
             self._groups[assigned.proxy] = assigned.group
 
     def _on_proxy_left(self, left: ProxyLeft) -> None:
@@ -72,17 +72,18 @@
         known.rates[report.request_class] = rate
         self.recent_requests[report.request_class] += report.requests
 
-    def take_recent_requests(self, kept: float) -> list[float]:
-        """Return recent requests by class, and keep the part `kept` of them for the next call.
+    def take_recent_requests(self, decay: float) -> list[float]:
+        """Return recent requests by class, and multiply them by `decay` for the next call.
 
-        By what came: guessed in equal parts at joining, the cheap class was cut to nothing for the others.
+        Only requests that were reported count. With the rates assumed at joining, admission control rejected
+        nearly all requests of the cheapest class, whose true share was higher.
         """
         recent = self.recent_requests
-        self.recent_requests = [kept * count for count in recent]
+        self.recent_requests = [decay * count for count in recent]
         return recent
 
     def demand(self, zone_count: int) -> Demand:
-        """Estimate the demand of the whole fleet from the rates of our own proxies."""
+        """Estimate the demand of the whole fleet from the rates of this governor's own proxies."""
         rates = self._rates_by_zone(zone_count)
         proxy_zones = [proxy.zone for proxy in self.proxies.values()]
         return Demand(
@@ -103,17 +104,21 @@
 
     def _shares(self, rates: list[list[float]], proxy_zones: list[int]) -> list[list[float]]:
         total = sum(map(sum, rates)) or 1.0
-        own = min(1.0, len(proxy_zones) / self._proxy_count)
-        # Other governors' as if zones had alike proxies: by weight, a drowning zone would send none away.
+        own_share = min(1.0, len(proxy_zones) / self._proxy_count)
+        # The demand at other governors' proxies is estimated as if all zones had equally many proxies. By the
+        # zones' weights instead, an overloaded zone would never spill over.
         zone_count = len(rates)
         others = [
             max(0.0, 1 / zone_count - proxy_zones.count(zone) / self._proxy_count)
             for zone in range(zone_count)
         ]
-        fill = (1 - own) / (sum(others) or 1.0)
-        mix = [sum(zone_rates) / total for zone_rates in zip(*rates, strict=True)]
+        scale = (1 - own_share) / (sum(others) or 1.0)
+        class_mix = [sum(zone_rates) / total for zone_rates in zip(*rates, strict=True)]
         return [
-            [own * rate / total + other * fill * part for rate, part in zip(zone_rates, mix, strict=True)]
+            [
+                own_share * rate / total + other * scale * part
+                for rate, part in zip(zone_rates, class_mix, strict=True)
+            ]
             for zone_rates, other in zip(rates, others, strict=True)
         ]
 
--- a/gradehoist/fleet_state/table_writer.py
+++ b/gradehoist/fleet_state/table_writer.py
@@ -1,4 +1,4 @@
-"""Writing of one group's tables: numbering, and what its lines and binds cost. It decides nothing."""
+"""Writing of one group's tables: their numbers, and the number of lines that changes and binds write."""
 
 from collections.abc import Iterator, Sequence
 
@@ -9,14 +9,14 @@
 
 
 class TableWriter(Actor):
-    """Some proxies of one zone, which share their tables; a subclass decides what is written."""
+    """A group of proxies of one zone that share their tables; a subclass decides what is written."""
 
     receives_published = False
 
     def __init__(
         self, loop: MessageLoop, index: int, zone: int, class_sets: Sequence[tuple[int, ...]]
     ) -> None:
-        """Create a group without proxies, whose tables are empty."""
+        """Create a group without proxies and with empty tables."""
         super().__init__(loop)
         self.index = index
         self.zone = zone
@@ -27,7 +27,7 @@
         self.withdrawn: set[int] = set()
 
     def write(self, changes: Sequence[LineChange]) -> None:
-        """Write lines to all members."""
+        """Write line changes to all members."""
         new_lines = self.sent.apply(changes)
         if changes:
             orders = [SetWeight(self._table(c.class_set), c.replica, c.weight) for c in changes]
@@ -36,7 +36,7 @@
         self.loop.publish(TablesWritten(self.index, is_outdated, self.sent.replicas()))
 
     def changes(self, periods: int = 1) -> Iterator[LineChange]:
-        """Yield the planned changes that are worth a line, for a group that has waited for `periods`."""
+        """Yield the planned changes that are worth a line, after the group has waited for `periods`."""
         raise NotImplementedError
 
     def _table(self, class_set: int) -> int:
--- a/gradehoist/fleet_state/weight_tables.py
+++ b/gradehoist/fleet_state/weight_tables.py
@@ -1,4 +1,4 @@
-"""Weight tables as they were last sent to a group of proxies."""
+"""The weight tables as they were last sent to a group of proxies."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LineChange:
-    """A new weight of a replica in the table of a set of classes; 0 removes the line."""
+    """A new weight of a replica in the table of a class set; 0 removes the line."""
 
     class_set: int
     replica: int
@@ -22,11 +22,11 @@
     """The lines that the proxies of a group hold."""
 
     def __init__(self, class_set_count: int) -> None:
-        """Create empty tables, one for each set of classes."""
+        """Create empty tables, one for each class set."""
         self.tables: Tables = {class_set: {} for class_set in range(class_set_count)}
 
     def apply(self, changes: Sequence[LineChange]) -> int:
-        """Apply changes that are written; return how many are lines of replicas new to their table."""
+        """Record changes that are written; return how many add a replica to a table."""
         new_lines = sum(change.replica not in self.tables[change.class_set] for change in changes)
         for change in changes:
             table = self.tables[change.class_set]
@@ -36,10 +36,11 @@
         return new_lines
 
     def changes(self, planned: Tables, retained: Set[int], min_change: float) -> Iterator[LineChange]:
-        """Yield the lines that come, leave, or move by more than `min_change` of their weight or of the mean.
+        """Yield the lines that are added or removed, and those whose weight changes by enough.
 
-        Those of `retained` replicas stay. By their own weight alone, moves of light lines, which hardly move
-        traffic, were a third of the orders.
+        A change has to exceed `min_change`, relative to the larger of the line's weight and the mean weight:
+        relative to the line's weight alone, changes of light lines, which hardly move traffic, made up a
+        third of all orders. Lines of `retained` replicas are not removed.
         """
         for class_set, weights in planned.items():
             sent = self.tables[class_set]
@@ -53,7 +54,7 @@
                     yield LineChange(class_set, n, new)
 
     def replica_lines(self, planned: Tables, replica: int) -> Iterator[LineChange]:
-        """Yield the lines of one replica as they should be, moved or not."""
+        """Yield the planned lines of one replica, changed or not."""
         for class_set, weights in planned.items():
             sent = self.tables[class_set]
             if replica in weights or replica in sent:
@@ -62,15 +63,18 @@
                 yield LineChange(class_set, replica, new)
 
     def bind_lines(self, extra_lines: int, lifts_withdrawals: bool) -> int:
-        """Return how many lines a bind to all tables writes, with `extra_lines` for each of them."""
+        """Return how many lines a bind to all tables writes, with `extra_lines` for each table.
+
+        `lifts_withdrawals`: a withdrawal is lifted for each replica, which doubles its lines.
+        """
         repeats = 2 if lifts_withdrawals else 1
         return sum(1 + extra_lines + repeats * len(table) for table in self.tables.values())
 
     def replicas(self) -> list[frozenset[int]]:
-        """Return the replicas that each table names."""
+        """Return the replicas that have a line, for each table."""
         return [frozenset(table) for table in self.tables.values()]
 
 
 def _scale(sent: Weights, planned: Weights, common: Sequence[int]) -> float:
-    # Tables hold ratios: a line that leaves must not count as a move of all the others.
+    # Only ratios of weights matter, so the removal of a line must not count as a change of all the others.
     return sum(sent[n] for n in common) / sum(planned[n] for n in common) if common else 1.0
--- a/gradehoist/fleet_state/withdrawals.py
+++ b/gradehoist/fleet_state/withdrawals.py
@@ -1,4 +1,4 @@
-"""Which replicas are withdrawn, and which changes of that are still to be written, in the order they came."""
+"""Which replicas are withdrawn, and the pending changes of that, in the order in which they came."""
 
 from collections.abc import Collection
 
@@ -7,12 +7,12 @@
 
 
 class Withdrawals(Actor):
-    """Availability of replicas as proxies have it, and as they should have it."""
+    """Availability of replicas: what has been written to proxies, and what is still to be written."""
 
     def __init__(self, loop: MessageLoop) -> None:
-        """Create the record of a fleet with nothing withdrawn."""
+        """Create the state of a fleet without withdrawn replicas."""
         super().__init__(loop)
-        self.pending: dict[int, Availability] = {}  # a change of what is pending keeps its place
+        self.pending: dict[int, Availability] = {}  # updating an entry keeps its position
         self.withdrawn: dict[int, Availability] = {}
 
     def _on_set_availability(self, change: SetAvailability) -> None:
@@ -31,18 +31,18 @@
             self.pending[order.replica] = Availability.AVAILABLE
 
     def due(self, kinds: Collection[Availability]) -> list[int]:
-        """Return the replicas with a pending change of these kinds, the first known first."""
+        """Return the replicas with a pending change to one of `kinds`, the oldest first."""
         return [replica for replica, availability in self.pending.items() if availability in kinds]
 
     def has_pending(self, kinds: Collection[Availability]) -> bool:
-        """Whether a change of these kinds is pending."""
+        """Return whether a change to one of `kinds` is pending."""
         return any(availability in kinds for availability in self.pending.values())
 
     def withdraw(self, replica: int) -> None:
-        """Count a pending withdrawal as written."""
+        """Record that a pending withdrawal is written."""
         self.withdrawn[replica] = self.pending.pop(replica)
 
     def readmit(self, replica: int) -> bool:
-        """Count a pending return as written; return whether there was a withdrawal to lift."""
+        """Record that a pending readmission is written; return whether there was a withdrawal to lift."""
         del self.pending[replica]
         return self.withdrawn.pop(replica, None) is not None
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -90,8 +90,8 @@
     rates = RequestRates(loop, policy_config(classes=(ANY,)), [(0,)], group_zones=[0], smoothing=0.5)
     publish(loop, ProxyJoined(0, 0, 10.0), RequestsOffered(0, 0, 40, 0, 2 * SECOND))
     assert rates.proxies[0].rates == [15.0]
-    assert rates.take_recent_requests(kept=0.25) == [40.0]
-    assert rates.take_recent_requests(kept=0.25) == [10.0]
+    assert rates.take_recent_requests(decay=0.25) == [40.0]
+    assert rates.take_recent_requests(decay=0.25) == [10.0]
     publish(loop, ProxyLeft(0), RequestsOffered(0, 0, 40, 0, SECOND), ProxyAssigned(0, 0))
     assert not rates.proxies
     assert rates.demand(zone_count=1).group_loads == [0.0]
