--- a/gradehoist/flow_control.py
+++ b/gradehoist/flow_control.py
@@ -1,7 +1,7 @@
-"""Accounting of the lines and messages that a policy has written to its proxies.
+"""Flow control: counts the lines and messages that a policy has written to its proxies.
 
-It counts what is written and not yet acknowledged. How much of the queue, or of a proxy's message limit, may
-be used for what is the caller's decision and is passed in.
+Lines count until they are acknowledged, and messages until the message window has passed. The caller decides
+which share of the queue and of a proxy's message limit a write may use.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 )
 from gradehoist.messages import AdmissionChanged, WriteOrders
 
-REVISION_COUNT = 65_536  # revisions are numbers of 16 bits
-UNLIMITED_MESSAGES = 1e9  # stands for a limit of 0 messages, which means none
+REVISION_COUNT = 65_536  # Revisions are 16-bit numbers that wrap.
+UNLIMITED_MESSAGES = 1e9  # Replaces a configured limit of 0, which means no limit.
 
 
 class FlowControl(Actor):
-    """The reply being written, what is unacknowledged, and the messages of the window, by proxy."""
+    """Collects the orders of the current reply, and counts unacknowledged lines and recent messages."""
 
     def __init__(self, loop: MessageLoop, limits: ChannelLimits) -> None:
-        """Create the accounts of a channel; its proxies are added as they join."""
+        """Create the accounting of a channel; proxies are added as they join."""
         super().__init__(loop)
-        self.orders: list[Order] = []  # of the reply being written
-        self.overhead_lines = limits.message_overhead_lines + 1  # and the line that asks for acknowledgement
+        self.orders: list[Order] = []  # of the current reply
+        self.overhead_lines = limits.message_overhead_lines + 1  # with the acknowledgement request
         self.message_limit = limits.messages_per_window or UNLIMITED_MESSAGES
         self.message_window_us = limits.message_window_us
         self.queue_limit_lines = limits.queue_limit_lines
-        self.pending: dict[int, float] = {}  # lines of the reply being written, by proxy
-        self.reserved_lines = 0.0  # for what actors were asked to write in this reply
-        self.admission_orders: Sequence[Order] = []  # the latest admission rates, until they are written
-        self.admission_lines = 0  # lines of the rates last written, counted for each message
-        self.unacknowledged: dict[int, deque[tuple[int, float]]] = {}  # revision and lines, by proxy
+        self.pending: dict[int, float] = {}  # by proxy: lines of the current reply
+        self.reserved_lines = 0.0  # for writes that actors were asked to make in the current reply
+        self.admission_orders: Sequence[Order] = []  # the latest admission rates until they are written
+        self.admission_lines = 0  # lines of the rates last written, which each message repeats
+        self.unacknowledged: dict[int, deque[tuple[int, float]]] = {}  # by proxy: revision, lines
         self.unacknowledged_lines = 0.0
-        self.message_times: dict[int, deque[int]] = {}  # within the message window, by proxy
+        self.message_times: dict[int, deque[int]] = {}  # by proxy: within the message window
         self._possible_withdrawal_holders = set[int]()
         self._revision = 0
 
@@ -70,41 +70,43 @@
         self.write(order.orders, order.proxies, order.lines, order.new_lines)
 
     def may_hold_withdrawals(self, proxy: int) -> bool:
-        """Whether replicas new to the proxy's tables take a line more."""
+        """Return whether adding a replica to the proxy's tables takes a line more, to lift a withdrawal."""
         return proxy in self._possible_withdrawal_holders
 
     def is_idle(self) -> bool:
-        """Whether every message has been acknowledged."""
+        """Return whether all messages have been acknowledged."""
         return not any(self.unacknowledged.values())
 
     def available_lines(
         self, proxies: Iterable[int], lines: float, queue_share: float, message_share: float
     ) -> float:
-        """Return the lines left of `queue_share` of the queue once `lines` are written to each of `proxies`.
+        """Return how much of `queue_share` of the queue remains after writing `lines` to each of `proxies`.
 
-        What actors were asked to write counts as written, or each write of a batch would pass alone.
-        Minus infinity where a proxy without a message in this reply has had `message_share` of its limit.
+        Reserved lines count as written; otherwise each of several writes in a batch would be checked as if it
+        were the only one. The result is minus infinity if one of the proxies has no message in the current
+        reply and has used up `message_share` of its message limit.
         """
-        left = queue_share * self.queue_limit_lines
-        left = left - self.unacknowledged_lines - self.reserved_lines - sum(self.pending.values())
+        remaining = queue_share * self.queue_limit_lines
+        remaining = remaining - self.unacknowledged_lines - self.reserved_lines - sum(self.pending.values())
         window_start = self.loop.now_us - self.message_window_us
-        most = message_share * self.message_limit
+        message_cap = message_share * self.message_limit
         for proxy in proxies:
             if proxy in self.pending:
-                left -= lines
+                remaining -= lines
                 continue
-            left = left - lines - self.overhead_lines
+            remaining = remaining - lines - self.overhead_lines
             times = self.message_times[proxy]
             while times and times[0] <= window_start:
                 times.popleft()
-            if len(times) >= most:
+            if len(times) >= message_cap:
                 return -math.inf
-        return left
+        return remaining
 
     def write(self, orders: Iterable[Order], proxies: Iterable[int], lines: int, new_lines: int = 0) -> None:
-        """Add orders to the reply; they are `lines` to each of `proxies`, but for those that have left.
+        """Add orders to the reply, which cost `lines` for each of `proxies` that is still connected.
 
-        `new_lines` of them, of replicas new to a table, count twice where withdrawals may have to be lifted.
+        The `new_lines` among them that add a replica to a table count twice for a proxy that may hold
+        withdrawals, as these are lifted with another line.
         """
         self.orders += orders
         pending = self.pending
@@ -114,16 +116,17 @@
                 pending[proxy] = pending.get(proxy, self.overhead_lines) + lines + extra
 
     def write_admission(self, proxies: Iterable[int]) -> None:
-        """Add the pending admission rates to the reply."""
+        """Add the latest admission rates to the reply."""
         self.admission_lines = len(self.admission_orders)
         self.write(self.admission_orders, proxies, self.admission_lines)
         self.admission_orders = []
 
     def take_orders(self) -> list[Order]:
-        """Close the reply: count its messages as sent; return its orders."""
+        """End the current reply, record its messages as sent, and return its orders."""
         if self.pending:
             self._revision = (self._revision + 1) % REVISION_COUNT
-            # To all where all were meant: withdrawals reach holders of the line, others never acknowledge.
+            # A withdrawal reaches only proxies with a line for the replica. If all proxies were written to,
+            # all are asked, as a proxy that receives no line would otherwise never acknowledge the revision.
             to_all = len(self.pending) >= len(self.unacknowledged)
             self.orders.append(RequestAcknowledgement(revision=self._revision, to_all=to_all))
             self.unacknowledged_lines += sum(self.pending.values()) + self.admission_lines * len(self.pending)
--- a/gradehoist/identifiers.py
+++ b/gradehoist/identifiers.py
@@ -1,4 +1,4 @@
-"""Interning: what files and wires call a replica, zone, kind, class or proxy becomes a small index."""
+"""Interning of names: replicas, zones, kinds, classes and proxies are represented by small indices."""
 
 from __future__ import annotations
 
@@ -6,41 +6,41 @@
 
 
 class Interner:
-    """Gives each new name the next index, from 0. Names are never removed."""
+    """Assigns each new name the next index, from 0. Names are never removed."""
 
     def __init__(self, names: Iterable[str] = ()) -> None:
-        """Interns `names` in their order."""
+        """Intern `names` in the given order."""
         self.names: list[str] = []  # by index
         self._indices: dict[str, int] = {}
         for name in names:
             self.intern(name)
 
     def __len__(self) -> int:
-        """The number of names."""
+        """Return the number of names."""
         return len(self.names)
 
     def __iter__(self) -> Iterator[str]:
-        """The names by index."""
+        """Return an iterator over the names, ordered by index."""
         return iter(self.names)
 
     def __contains__(self, name: str) -> bool:
-        """Whether a name has an index."""
+        """Return whether a name has an index."""
         return name in self._indices
 
     def __getitem__(self, name: str) -> int:
-        """The index of a name.
+        """Return the index of a name.
 
         Raises:
-            KeyError: The name has none.
+            KeyError: The name has no index.
         """
         return self._indices[name]
 
     def get(self, name: str, default: int) -> int:
-        """The index of a name, or `default` where it has none."""
+        """Return the index of a name, or `default` if it has none."""
         return self._indices.get(name, default)
 
     def intern(self, name: str) -> int:
-        """The index of a name; a new name gets the next one."""
+        """Return the index of a name; a new name gets the next index."""
         index = self._indices.get(name)
         if index is None:
             index = len(self.names)
@@ -50,10 +50,10 @@
 
 
 class Identifiers:
-    """The names that one policy instance, node or governor knows."""
+    """The interned names of one policy instance, node or governor."""
 
     def __init__(self, zones: Iterable[str], kinds: Iterable[str], classes: Iterable[str]) -> None:
-        """Interns the names that the settings give; replicas and proxies come later."""
+        """Intern the names in the settings; replicas and proxies are interned as they appear."""
         self.zones = Interner(zones)
         self.kinds = Interner(kinds)
         self.classes = Interner(classes)
--- a/gradehoist/interface.py
+++ b/gradehoist/interface.py
@@ -1,7 +1,8 @@
-"""Events that a policy is given and orders that it returns, without any wire format.
+"""The interface of a policy: the events that it receives and the orders that it returns.
 
-Replicas, zones, kinds and classes are small indices that `gradehoist.identifiers` assigns; times are whole
-microseconds. A caller creates a policy from a `PolicyConfig` and then passes it batches of events.
+A caller creates a policy from a `PolicyConfig` and then passes it batches of events. Replicas, zones, kinds,
+classes and proxies are small indices that `gradehoist.identifiers` assigns; times are whole microseconds. The
+wire formats are defined elsewhere.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class Phase(Enum):
-    """What the endpoint list says of a replica."""
+    """The phase of a replica in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -20,7 +21,11 @@
 
 
 class Idempotency(Enum):
-    """What a second run of a request means: harmless, dropped by its key inside a group, or forbidden."""
+    """Whether a request may be executed twice.
+
+    `IDEMPOTENT`: a second execution is harmless. `IDEMPOTENCY_KEY`: replicas of the same group drop it by the
+    request's key. `NOT_IDEMPOTENT`: it must not happen.
+    """
 
     IDEMPOTENT = "free"
     IDEMPOTENCY_KEY = "guarded"
@@ -28,7 +33,11 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list is: a `CACHED` one and a `SNAPSHOT` are complete, a `DELTA` is not."""
+    """The kind of an endpoint list.
+
+    `CACHED` (saved by an earlier run) and `SNAPSHOT` are complete, `DELTA` has only changed entries, and
+    `FAILED` says that the list could not be fetched.
+    """
 
     CACHED = "saved"
     SNAPSHOT = "complete"
@@ -37,7 +46,7 @@
 
 
 class HealthCheckOutcome(Enum):
-    """How a replica responded to a health check."""
+    """The outcome of a health check of a replica."""
 
     HEALTHY = "answered"
     ERROR = "error"
@@ -50,10 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Objective, deadline and placement limits of a class of requests.
+    """Latency objective, deadline, priority and placement limits of a class of requests.
 
-    A limit of None allows every zone or kind; a `zone_local` class stays in the zone its requests come to.
-    `late_priority_factor` is the part of the priority weight that a late response still has.
+    `allowed_zones` and `allowed_kinds` are None where every zone or kind is allowed. Requests of a
+    `zone_local` class stay in the zone of the proxy that receives them. `late_priority_factor` is the share
+    of the priority weight that a response after the latency objective still has.
     """
 
     latency_objective_us: int
@@ -66,7 +76,7 @@
     zone_local: bool
 
     def allows(self, endpoint: Endpoint, from_zone: int) -> bool:
-        """Return whether requests that come to a proxy of `from_zone` may be sent to an endpoint."""
+        """Return whether a proxy of `from_zone` may send requests of this class to an endpoint."""
         return (
             (self.allowed_zones is None or endpoint.zone in self.allowed_zones)
             and (not self.zone_local or endpoint.zone == from_zone)
@@ -76,11 +86,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SafetyLimits:
-    """The figures behind the five safety rules of the platform.
+    """The parameters of the platform's five safety rules.
 
-    A replica warms up over `warmup_us`, from `warmup_start_capacity`; `overload_multiple` of its capacity
-    over `overload_window_us` is too much for it. A draining replica may get requests for `drain_grace_us`,
-    and a class may be without a replica for `unroutable_limit_us`.
+    A replica warms up over `warmup_us`, starting with the share `warmup_start_capacity` of its capacity. It
+    is overloaded by `overload_multiple` times its capacity over `overload_window_us`. A draining replica may
+    receive requests for `drain_grace_us`, and a class may be without a replica for `unroutable_limit_us`.
     """
 
     drain_grace_us: int
@@ -94,10 +104,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChannelLimits:
-    """What one governor may write to its proxies; `lines_per_s` is the stated rate, not the true one.
+    """The limits of the channel from one governor to its proxies.
 
-    At most `queue_limit_lines` may wait, and `messages_per_window` (0: any number) go to one proxy within
-    `message_window_us`. A message costs `message_overhead_lines` beside its lines.
+    At most `queue_limit_lines` may be queued, and at most `messages_per_window` messages (0: no limit) sent
+    to one proxy within `message_window_us`. A message costs `message_overhead_lines` in addition to its
+    lines. `lines_per_s` is the configured rate; the actual one may differ.
     """
 
     queue_limit_lines: float
@@ -109,7 +120,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReporting:
-    """How load reports come: the period, the signals that they carry, and what may be asked for."""
+    """How load reports arrive: their period, their signals, and what has to be requested.
+
+    `must_subscribe`: the endpoint list is sent only to subscribers.
+    """
 
     period_us: int
     has_busy_share: bool
@@ -120,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyConfig:
-    """All that is known of a deployment at the start; `seed` is of the policy's random numbers."""
+    """The configuration of a deployment; `seed` determines the policy's random numbers."""
 
     seed: int
     zone_count: int
@@ -135,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """One load report; a signal that the deployment does not carry is None."""
+    """The load that a replica reports; a signal that its deployment does not have is None."""
 
     busy_share: float | None = None
     in_flight: float | None = None
@@ -144,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A replica's entry in the endpoint list; `started_us` is 0 where it started long ago."""
+    """A replica's entry in the endpoint list; `started_us` is 0 if it started long ago."""
 
     replica: int
     zone: int
@@ -157,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """The endpoint list has come, or has failed to."""
+    """An endpoint list has arrived, or could not be fetched (`EndpointListKind.FAILED`)."""
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...]
@@ -165,9 +179,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyJoined:
-    """A proxy has connected, with the requests per second that it states.
+    """A proxy has connected and states its request rate, in requests per second.
 
-    `may_hold_withdrawals`: it may have withdrawn replicas that a bind has to readmit one by one.
+    `may_hold_withdrawals`: replicas may still be withdrawn at the proxy by an earlier stream, so that a bind
+    has to lift these withdrawals one by one.
     """
 
     proxy: int
@@ -187,7 +202,7 @@
 class AttemptsReported:
     """What the proxies of one zone measured at a replica over `window_us`.
 
-    `mean_latency_us` is the mean latency of the attempts that succeeded.
+    `mean_latency_us` covers the successful attempts only.
     """
 
     zone: int
@@ -201,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestsOffered:
-    """Requests of a class that came to a proxy over `window_us`, retries and rejected ones included."""
+    """Requests of a class that a proxy received over `window_us`, with retries and rejected requests."""
 
     proxy: int
     request_class: int
@@ -212,7 +227,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRangeOffered:
-    """Requests of a class that came for a key range over `window_us`."""
+    """Requests of a class for a key range over `window_us`."""
 
     key_range: int
     request_class: int
@@ -223,7 +238,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRangeAssigned:
-    """This governor owns a key range from now on, or no longer."""
+    """This governor has become the owner of a key range, or is no longer its owner."""
 
     key_range: int
     is_owner: bool
@@ -240,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateAcknowledged:
-    """A proxy has applied everything up to a revision, `elapsed_us` after it was sent."""
+    """A proxy has applied all messages up to a revision, `elapsed_us` after that one was sent."""
 
     proxy: int
     revision: int
@@ -249,7 +264,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChecked:
-    """A health check has ended."""
+    """A health check has ended, `elapsed_us` after it began."""
 
     replica: int
     outcome: HealthCheckOutcome
@@ -267,10 +282,11 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotasAgreed:
-    """What a fleet of governors agreed, all of it each time; 1.0 where nothing is named.
+    """The quotas that a fleet of governors has agreed on; each event replaces all earlier quotas.
 
-    `zone_quotas`: the part of what would go to a zone that still may. `warmup_quotas`: the part of its weight
-    that this governor may give a cold replica. `admission_limits`: the highest admitted share of a class.
+    Entries are pairs of an index and a share; a missing entry means 1.0. `zone_quotas`: the share of the
+    traffic for a zone that may still go there. `warmup_quotas`: the share of its weight that this governor
+    may give a cold replica. `admission_limits`: the highest admitted share of a class.
     """
 
     zone_quotas: tuple[tuple[int, float], ...] = ()
@@ -280,7 +296,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the policy set is due."""
+    """A timer that the policy set has fired."""
 
     token: int
 
@@ -320,7 +336,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BindProxy:
-    """Binds a proxy to a table for the named classes, for all if none is named."""
+    """Binds a proxy to a table for the given classes, or for all classes if `classes` is empty."""
 
     proxy: int
     table: int
@@ -329,7 +345,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawReplica:
-    """Withdraws a replica from every table, or lifts its withdrawal."""
+    """Withdraws a replica from all tables, or lifts its withdrawal."""
 
     replica: int
     withdrawn: bool
@@ -337,7 +353,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmission:
-    """Admits `admitted_share` of the classes' requests, with a retry policy; table None: everywhere."""
+    """Admits `admitted_share` of the classes' requests, with a retry policy.
+
+    It applies to proxies that are bound to `table`, or to all proxies if `table` is None.
+    """
 
     table: int | None
     classes: tuple[int, ...]
@@ -347,7 +366,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAcknowledgement:
-    """Asks for an acknowledgement of all that was written up to a revision; of all proxies if `to_all`."""
+    """Requests an acknowledgement of a revision: from all proxies if `to_all`, else from those written to."""
 
     revision: int
     to_all: bool
@@ -377,7 +396,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEndpoints:
-    """Asks for the endpoint list once."""
+    """Requests the endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -403,8 +422,8 @@
 
 
 class Policy(Protocol):
-    """What decides: takes events and returns orders."""
+    """A load-balancing policy, which turns events into orders."""
 
     def handle(self, now_us: int, events: list[Event]) -> list[Order]:
-        """Take a batch of events at a time that never goes back; return the orders that follow from it."""
+        """Process a batch of events and return the resulting orders; `now_us` must never decrease."""
         ...
--- a/gradehoist/messages.py
+++ b/gradehoist/messages.py
@@ -1,6 +1,6 @@
-"""Messages between the actors of a policy, and the records that they carry. They decide nothing.
+"""Messages between the actors of a policy, and the records that they carry.
 
-Events and orders, which cross the boundary of the policy, are defined in `gradehoist.interface`.
+Events and orders, which enter and leave the policy, are defined in `gradehoist.interface`.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from gradehoist.interface import AttemptsReported, Endpoint, Order, Phase
 
 Weights = dict[int, float]  # weight by replica
-Tables = dict[int, Weights]  # by set of request classes
+Tables = dict[int, Weights]  # weights by class set
 
 
 class Availability(Enum):
-    """What proxies are to do with a replica, and why."""
+    """Whether proxies may send requests to a replica, and if not, why."""
 
     DRAINING = "drain"
     GONE = "gone"
@@ -24,12 +24,15 @@
     AVAILABLE = "open"
 
 
-URGENT = frozenset({Availability.DRAINING, Availability.GONE})  # requests sent there are lost soon
+URGENT = frozenset({Availability.DRAINING, Availability.GONE})  # Requests sent there are soon lost.
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTotals:
-    """Attempts at a replica, with older ones counting less; `latency_sum_us` is of those that succeeded."""
+    """Totals of the attempts at a replica, in which older attempts count less.
+
+    `latency_sum_us` is the sum of the latencies of the successful attempts.
+    """
 
     attempts: float = 0.0
     failures: float = 0.0
@@ -37,21 +40,21 @@
 
     @property
     def failure_share(self) -> float:
-        """The share of the attempts that failed, of one at least."""
+        """The share of the attempts that failed; fewer than one attempt count as one."""
         return self.failures / max(1.0, self.attempts)
 
     @property
     def success_share(self) -> float:
-        """The share of the attempts that succeeded, 1 without any."""
+        """The share of the attempts that succeeded, 1 if there are none."""
         return 1 - self.failure_share
 
     @property
     def mean_latency_us(self) -> float:
-        """The mean latency of the attempts that succeeded; there has to be one."""
+        """The mean latency of the successful attempts, of which there must be some."""
         return self.latency_sum_us / (self.attempts - self.failures)
 
     def plus(self, report: AttemptsReported) -> AttemptTotals:
-        """Return the totals with those of a report added."""
+        """Return the totals plus those of a report."""
         succeeded = report.attempts - report.failures
         return AttemptTotals(
             attempts=self.attempts + report.attempts,
@@ -60,7 +63,7 @@
         )
 
     def scaled(self, factor: float) -> AttemptTotals:
-        """Return the totals, each multiplied by `factor`."""
+        """Return the totals multiplied by `factor`."""
         return AttemptTotals(
             attempts=factor * self.attempts,
             failures=factor * self.failures,
@@ -70,10 +73,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaState:
-    """What a replica's actor knows of it; `reported_us` is when load was last reported, 0 if never.
+    """The state of a replica, as its actor publishes it.
 
-    `slow_start` is the part of the weight that slow start allows. `is_ejecting`: the pool has ordered an
-    ejection that the replica's actor has yet to confirm.
+    `slow_start` is the share of the weight that slow start allows, and `reported_us` the time of the last
+    load report, 0 if there was none. `is_ejecting`: the pool has ordered an ejection that the replica's actor
+    has not confirmed yet.
     """
 
     endpoint: Endpoint
@@ -89,17 +93,17 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the endpoint list has it as ready."""
+        """Whether the endpoint list says that the replica is ready."""
         return self.endpoint.phase is Phase.READY
 
     @property
     def is_open(self) -> bool:
-        """Whether it may get requests."""
+        """Whether the replica may receive requests."""
         return self.endpoint.phase is Phase.READY and not (self.is_ejected or self.is_ejecting)
 
     @property
     def availability(self) -> Availability:
-        """What proxies are to do with the replica, as far as its own state says."""
+        """The availability that follows from the replica's own state."""
         if self.endpoint.phase is Phase.GONE:
             return Availability.GONE
         if self.endpoint.phase is Phase.DRAINING:
@@ -107,30 +111,30 @@
         return Availability.AVAILABLE if self.is_open else Availability.EJECTED
 
     def is_routed_like(self, other: ReplicaState | None) -> bool:
-        """Whether nothing differs for which tables and withdrawals would have to be reconsidered."""
+        """Return whether the difference to another state affects neither tables nor withdrawals."""
         return other is not None and (
             (self.endpoint.phase, self.is_open, self.is_ejecting, self.endpoint.started_us)
             == (other.endpoint.phase, other.is_open, other.is_ejecting, other.endpoint.started_us)
         )
 
     def is_restart_of(self, other: ReplicaState | None) -> bool:
-        """Whether the replica was open and has started anew since."""
+        """Return whether the replica was open in the other state and has restarted since."""
         return other is not None and other.is_open and other.endpoint.started_us < self.endpoint.started_us
 
 
-# To the pool
+# Messages to the pool.
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaChanged:
-    """A replica's actor has a new state."""
+    """A replica's state has changed."""
 
     state: ReplicaState
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaFailing:
-    """Most of a replica's recent attempts fail."""
+    """Most of the recent attempts at a replica have failed."""
 
     replica: int
     failure_share: float
@@ -138,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyAssigned:
-    """A proxy that joined belongs to a group from now on."""
+    """A proxy that joined was assigned to a group."""
 
     proxy: int
     group: int
@@ -146,53 +150,54 @@
 
 @dataclass(frozen=True, slots=True)
 class PeriodElapsed:
-    """A report period has passed; also for each replica."""
+    """A report period has passed; the pool passes this message on to each replica."""
 
 
 @dataclass(frozen=True, slots=True)
 class PoolAssessmentDue:
-    """All replicas have sent their states of this period."""
+    """All replicas have sent their states for this period."""
 
 
 @dataclass(frozen=True, slots=True)
 class WeightStepDue:
-    """All groups hold the last weights, so that the next step of the control loop may be taken."""
+    """All groups have the latest weights, so the next step of the control loop may be taken."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlanDue:
-    """Tables have to be planned anew."""
+    """The tables have to be planned again."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicasReadmitted:
-    """Withdrawals of these replicas are lifted in the message that is being written."""
+    """The withdrawals of these replicas are lifted in the messages that are being written."""
 
     replicas: list[int]
 
 
 @dataclass(frozen=True, slots=True)
 class RetentionExpired:
-    """A replica has been gone for so long that it may be forgotten."""
+    """The retention time of a replica that was gone has passed."""
 
     replica: int
 
 
-# To a replica
+# Messages to a replica.
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointChanged:
-    """The endpoint list has a new entry for the replica."""
+    """The replica's entry in the endpoint list has changed."""
 
     endpoint: Endpoint
 
 
 @dataclass(frozen=True, slots=True)
 class AdjustWeight:
-    """A step of the control loop; `error` is how far the load is below its target, as a share of the average.
+    """A step of the control loop.
 
-    `is_stale`: there is no recent report; `scale` makes the weights' average 1 again.
+    `error` is the target load minus the replica's load, both relative to the average. `is_stale`: there is no
+    recent load report. The weight is multiplied by `scale`, which brings the average weight back to 1.
     """
 
     error: float
@@ -202,27 +207,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Eject:
-    """The replica has to be withdrawn as an outlier."""
+    """The replica has to be ejected as an outlier."""
 
 
 @dataclass(frozen=True, slots=True)
 class Readmit:
-    """The replica's ejection ends at once."""
+    """The replica's ejection has to end now."""
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionExpired:
-    """The time of a replica's ejection is over; `ejection` numbers it."""
+    """The time of the replica's ejection number `ejection` is over."""
 
     ejection: int
 
 
-# To a group of proxies
+# Messages to a group of proxies.
 
 
 @dataclass(frozen=True, slots=True)
 class TablesPlanned:
-    """The tables that a group should hold; lines of `withdrawn` replicas may stay, as they get nothing."""
+    """The tables that a group should hold; lines of `withdrawn` replicas, which get no requests, may stay."""
 
     tables: Tables
     withdrawn: set[int]
@@ -230,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteTurn:
-    """A group may write `capacity` lines over all its proxies, having waited for `periods`."""
+    """A group may write `capacity` lines in total to its proxies, after waiting for `periods`."""
 
     capacity: float
     periods: int
@@ -238,16 +243,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteReplica:
-    """A group has to write its lines of one replica, whether they moved or not."""
+    """A group has to write its lines for one replica, changed or not."""
 
     replica: int
 
 
 @dataclass(frozen=True, slots=True)
 class BindToGroup:
-    """A proxy is bound to a group's tables; `extra_lines` go with each table.
+    """A proxy has to be bound to a group's tables, with `extra_lines` for each table.
 
-    `lifts_withdrawals`: withdrawals that it may hold are lifted, which takes another line for each replica.
+    `lifts_withdrawals`: withdrawals that the proxy may hold are lifted, which takes another line per replica.
     """
 
     proxy: int
@@ -255,12 +260,12 @@
     lifts_withdrawals: bool
 
 
-# To the publisher
+# Messages to the publisher.
 
 
 @dataclass(frozen=True, slots=True)
 class WriteOrders:
-    """Orders to write at once: `lines` to each of `proxies`, `new_lines` for replicas new to a table."""
+    """Orders to write now: `lines` to each of `proxies`, of which `new_lines` add a replica to a table."""
 
     orders: Sequence[Order]
     proxies: Sequence[int]
@@ -278,14 +283,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LiftWithdrawal:
-    """The withdrawal of a replica gone for good has to be lifted."""
+    """The withdrawal of a replica has to be lifted, as its retention time has passed."""
 
     replica: int
 
 
 @dataclass(frozen=True, slots=True)
 class TablesWritten:
-    """What a group's tables name now, by set of classes, and whether they differ from what is planned."""
+    """The replicas in a group's tables, by class set, and whether the tables differ from the plan."""
 
     group: int
     is_outdated: bool
@@ -299,15 +304,15 @@
     orders: Sequence[Order]
 
 
-# To the admission controller and the publisher
+# Messages to the admission controller and the publisher.
 
 
 @dataclass(frozen=True, slots=True)
 class PoolAssessed:
-    """How the pool is: saturated at a `saturation` of 1, where its median replica is.
+    """The state of the pool, once per report period; its `saturation` is 1 where the median replica's is.
 
-    `requests` are recent ones by class; `period_us` is what reports cover; `is_subsetting`: tables name a
-    subset of the replicas only.
+    `requests` are the recent requests by class, and `period_us` is the period that load reports cover.
+    `is_subsetting`: tables have lines for a subset of the replicas only.
     """
 
     saturation: float
