--- a/gradehoist/adapter/__init__.py
+++ b/gradehoist/adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire, and the hosting of policy instances behind it."""
+"""Adapter between the simulator's wire protocol and the policy instances that it hosts."""
--- a/gradehoist/adapter/__main__.py
+++ b/gradehoist/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches of the simulator's wire on standard input and writes one flushed reply for each."""
+"""Reads batches of the simulator's wire protocol from standard input, and answers each on standard output."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    """Serves until the input ends; returns the exit code."""
+    """Serve until the end of the input; return the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     host = Host(sys.stderr)
--- a/gradehoist/adapter/errors.py
+++ b/gradehoist/adapter/errors.py
@@ -4,4 +4,4 @@
 
 
 class WireError(ValueError):
-    """A line of the simulator's wire is malformed or out of place; it is skipped."""
+    """A line of the simulator's wire protocol is malformed or out of sequence. Such lines are skipped."""
--- a/gradehoist/adapter/host.py
+++ b/gradehoist/adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts policy instances behind the wire: one a governor, each with its own identifiers."""
+"""Hosts one policy instance for each governor of the simulation, each with its own identifiers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Instance:
-    """One policy instance, and the events for it since the last reply."""
+    """One policy instance, and its events since the last reply."""
 
     identifiers: WireIdentifiers
     policy: Policy | None = None  # None once it has failed
@@ -29,30 +29,30 @@
 
 
 class Host:
-    """Takes the wire line by line; `handle_line` returns a reply when a batch ends."""
+    """Processes the wire protocol line by line, and returns one reply for each batch."""
 
     def __init__(self, errors: TextIO, make_policy: Callable[[PolicyConfig, int], Policy] = Planner) -> None:
-        """`errors` takes one line for each line of the wire that is skipped."""
+        """Create a host without instances; it logs each line of the wire that it skips to `errors`."""
         self.now_us = 0
         self._errors = errors
         self._make_policy = make_policy
         self._instances: dict[int, Instance] = {}
-        self._target: int | None = None  # the instance that the next events are for
+        self._target: int | None = None  # number of the instance that the next events are for
         self._endpoint_lists: dict[int, list[Fields]] = {}  # by slot
-        self._open_list: list[Fields] = []
-        self._endpoints_missing = 0  # from the open list
+        self._open_list: list[Fields] = []  # the endpoint list that is being received
+        self._endpoints_missing = 0  # entries still to come for the open list
         self._line_number = 0
 
     def handle_line(self, line: str) -> str | None:
-        """Takes one line; returns the reply where it ends a batch. A malformed line is logged and skipped."""
+        """Process one line; return a reply if it ends a batch. Malformed lines are logged and skipped."""
         self._line_number += 1
         if not line.strip():
             return None
         try:
             message = wire.parse_line(line)
             if message.name == "OVER_TO_YOU":
-                return self._reply()
-            self._take(message)
+                return self._end_batch()
+            self._process(message)
         except (ValueError, KeyError, TypeError, OverflowError) as error:
             self._log_skipped(line, error)
         return None
@@ -62,7 +62,7 @@
         self._errors.write(f"line {self._line_number}: {reason}: {line[:MAX_LOGGED_LINE_LENGTH]}\n")
         self._errors.flush()
 
-    def _take(self, message: WireMessage) -> None:
+    def _process(self, message: WireMessage) -> None:
         if message.name == "ITEM":
             self._add_endpoint(message.fields)
             return
@@ -74,10 +74,10 @@
             case "SHEET":
                 self._begin_endpoint_list(message.fields)
             case "TARGET_INSTANCE":
-                self._target = None  # stays so where the number is malformed
+                self._target = None  # No target remains if the number is malformed.
                 self._target = int(message.fields["governor"])
             case _:
-                self._deliver(message)
+                self._process_instance_message(message)
 
     def _begin_endpoint_list(self, fields: Fields) -> None:
         count = int(fields["records"])
@@ -88,22 +88,22 @@
 
     def _add_endpoint(self, fields: Fields) -> None:
         if self._endpoints_missing <= 0:
-            raise WireError("an entry outside a list")
+            raise WireError("endpoint entry outside an endpoint list")
         self._endpoints_missing -= 1
         wire.check_endpoint(fields)
         self._open_list.append(fields)
 
-    def _deliver(self, message: WireMessage) -> None:
+    def _process_instance_message(self, message: WireMessage) -> None:
         if message.name not in INSTANCE_MESSAGES and not wire.is_event(message.name):
             raise WireError("unknown message")
         if self._target is None:
-            raise WireError("no instance named")
+            raise WireError("no target instance")
         if message.name == "BOOT":
             self._boot(self._target, message.fields)
             return
         instance = self._instances.get(self._target)
         if instance is None:
-            raise WireError("an event for an instance that was not started")
+            raise WireError("event for an instance that was not started")
         if message.name == "DESTROY":
             del self._instances[self._target]
         elif message.name == "VIEW":
@@ -128,7 +128,7 @@
         except Exception as error:  # noqa: BLE001 - process boundary: the failure is reported on the wire
             instance.unreported_failure = f"{type(error).__name__}: {error}"
 
-    def _reply(self) -> str:
+    def _end_batch(self) -> str:
         self._endpoints_missing = 0
         reply: list[str] = []
         for number in sorted(self._instances):
@@ -136,14 +136,14 @@
             if instance.unreported_failure:
                 reply += [f"ON_BEHALF governor={number}", format_crash(instance.unreported_failure)]
                 instance.unreported_failure = ""
-            orders = self._run(number, instance)
+            orders = self._run_policy(number, instance)
             if orders:
                 reply += [f"ON_BEHALF governor={number}", *orders]
         reply.append("NEXT\n")
         return "\n".join(reply)
 
-    def _run(self, number: int, instance: Instance) -> list[str]:
-        """Hands an instance its pending events and returns the lines of its orders."""
+    def _run_policy(self, number: int, instance: Instance) -> list[str]:
+        """Pass an instance its pending events; return its orders as lines of the wire."""
         events, instance.pending_events = instance.pending_events, []
         if not events or instance.policy is None:
             return []
--- a/gradehoist/adapter/orders.py
+++ b/gradehoist/adapter/orders.py
@@ -1,4 +1,4 @@
-"""The orders of the policy as lines of the simulator's wire 'saffron-54c5'."""
+"""Formats the policy's orders as lines of the simulator's wire protocol 'saffron-54c5'."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
     WithdrawReplica,
 )
 
-ALL_TABLES = 65_535  # the wire's number for an order that concerns every table
+ALL_TABLES = 65_535  # table number on the wire for an order that applies to all tables
 MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def format_number(value: float) -> str:
-    """A number with six significant digits."""
+    """Return a number with six significant digits."""
     return format(value, ".6g")
 
 
 def class_mask(classes: tuple[int, ...]) -> int:
-    """The classes as a bit mask; none named: 0, which the wire takes as all."""
+    """Return the classes as a bit mask; no classes give 0, which means all classes on the wire."""
     return sum(1 << number for number in classes)
 
 
 def format_crash(reason: str) -> str:
-    """The line that reports the failure of an instance."""
+    """Return the line that reports the failure of an instance."""
     return "CRASH reason-text=" + (" ".join(reason.split()) or "failed")
 
 
 def format_order(identifiers: Identifiers, order: Order) -> str:
-    """The line that carries an order, without its end."""
+    """Return the line for an order, without a line end."""
     match order:
         case SetWeight() | ClearTable() | BindProxy() | WithdrawReplica() | SetAdmission():
             return _format_table_order(identifiers, order)
--- a/gradehoist/adapter/wire.py
+++ b/gradehoist/adapter/wire.py
@@ -1,4 +1,4 @@
-"""Lines of the simulator's wire 'saffron-54c5' to events, and their names to small indices."""
+"""Parses lines of the simulator's wire protocol 'saffron-54c5' into events."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     "FAILED": EndpointListKind.FAILED,
 }
 PHASES = {"Ready": Phase.READY, "Terminating": Phase.DRAINING, "Gone": Phase.GONE}
-OUTCOMES = {
+HEALTH_CHECK_OUTCOMES = {
     "S": HealthCheckOutcome.HEALTHY,
     "E": HealthCheckOutcome.ERROR,
     "F": HealthCheckOutcome.REJECTED,
@@ -53,36 +53,40 @@
 
 
 class WireMessage(NamedTuple):
-    """One line of the wire: its message's name, and its fields as text."""
+    """One line of the wire: the name of the message, and its fields as text."""
 
     name: str
     fields: Fields
 
 
 class WireIdentifiers(Identifiers):
-    """One instance's identifiers, and the columns of its load reports."""
+    """The identifiers of one instance, and the columns of its load reports."""
 
     def __init__(self, identifiers: Identifiers, report_columns: list[str]) -> None:
-        """Takes over the zones, kinds and classes of `identifiers`."""
+        """Create identifiers with the zones, kinds and classes of `identifiers`."""
         super().__init__(identifiers.zones, identifiers.kinds, identifiers.classes)
         self.report_columns = report_columns
 
     def parse_load(self, fields: Fields) -> LoadReport | None:
-        """The load report in a message, or None where it carries none. Raises ValueError."""
+        """Return the load report in a message, or None if it has none.
+
+        Raises:
+            ValueError: A value is not a number.
+        """
         text = fields.get("report", "")
         if not text:
             return None
-        figures = (float(figure) if figure else None for figure in text.split(","))
-        return platform.parse_load_report(zip(self.report_columns, figures, strict=False))
+        values = (float(value) if value else None for value in text.split(","))
+        return platform.parse_load_report(zip(self.report_columns, values, strict=False))
 
 
 def parse_line(line: str) -> WireMessage:
-    """Splits a line into a message's name and fields.
+    """Split a line into the message's name and its fields.
 
-    A text field runs to the end of its line; `options` is the only one that comes in.
+    A text field extends to the end of its line; `options` is the only text field in received messages.
 
     Raises:
-        WireError: A word has no value.
+        WireError: A field has no value.
     """
     name, _, rest = line.strip(" ").partition(" ")
     fields: Fields = {}
@@ -90,32 +94,32 @@
     if separator and (head == "" or head.endswith(" ")):
         fields["options"] = options
         rest = head
-    for word in rest.split():
-        key, equals, value = word.partition("=")
+    for field in rest.split():
+        key, equals, value = field.partition("=")
         if not equals:
-            raise WireError(f"no value in {word!r}")
+            raise WireError(f"no value in {field!r}")
         fields[key] = value
     return WireMessage(name, fields)
 
 
 def check_endpoint(fields: Fields) -> None:
-    """Rejects a malformed endpoint where it stands, so that the rest of its list stays usable.
+    """Check one endpoint as it is received, so that a malformed one does not invalidate its whole list.
 
     Raises:
         ValueError: A field is missing or malformed.
     """
     for key in ("replica", "hall", "phase"):
         if key not in fields:
-            raise WireError(f"an entry without {key}")
+            raise WireError(f"endpoint entry without {key}")
     if fields["phase"] not in PHASES:
-        raise WireError("an unknown phase")
+        raise WireError("unknown phase")
     float(fields.get("size", "1"))
     float(fields.get("online-since", "0"))
     int(fields.get("unit-group", "0"))
 
 
 def parse_endpoint(identifiers: WireIdentifiers, fields: Fields) -> Endpoint:
-    """Reads an endpoint that `check_endpoint` has passed."""
+    """Parse an endpoint that `check_endpoint` has accepted."""
     return Endpoint(
         replica=identifiers.replicas.intern(fields["replica"]),
         zone=identifiers.zones.intern(fields["hall"]),
@@ -128,10 +132,10 @@
 
 
 def parse_config(fields: Fields) -> tuple[WireIdentifiers, PolicyConfig]:
-    """The identifiers and the policy's configuration from a BOOT message.
+    """Return the identifiers and the policy's configuration in a BOOT message.
 
     Raises:
-        ValueError, KeyError, TypeError: The settings are not as stated.
+        ValueError, KeyError, TypeError: The settings are malformed.
     """
     settings = json.loads(fields["options"])
     identifiers = WireIdentifiers(platform.parse_identifiers(settings), platform.report_columns(settings))
@@ -145,7 +149,7 @@
 def _parse_health_check(identifiers: WireIdentifiers, fields: Fields) -> HealthChecked:
     return HealthChecked(
         replica=identifiers.replicas.intern(fields["replica"]),
-        outcome=OUTCOMES.get(fields["reason"], HealthCheckOutcome.OTHER),
+        outcome=HEALTH_CHECK_OUTCOMES.get(fields["reason"], HealthCheckOutcome.OTHER),
         elapsed_us=seconds_to_us(fields.get("elapsed", "0")),
         load=identifiers.parse_load(fields),
     )
@@ -159,7 +163,7 @@
     return PeerMessageReceived(peer, base64.b64decode(payload, validate=True))
 
 
-def _parse_joining(identifiers: WireIdentifiers, fields: Fields) -> ProxyJoined:
+def _parse_proxy_joined(identifiers: WireIdentifiers, fields: Fields) -> ProxyJoined:
     return ProxyJoined(
         proxy=int(fields["agent"]),
         zone=identifiers.zones.intern(fields["hall"]),
@@ -167,7 +171,7 @@
     )
 
 
-def _parse_leaving(_: WireIdentifiers, fields: Fields) -> ProxyLeft:
+def _parse_proxy_left(_: WireIdentifiers, fields: Fields) -> ProxyLeft:
     return ProxyLeft(int(fields["agent"]))
 
 
@@ -227,8 +231,8 @@
     "REMINDER": _parse_timer,
     "CHECK_RESULT": _parse_health_check,
     "WHISPER": _parse_peer_message,
-    "JOINED": _parse_joining,
-    "UNSUBSCRIBED": _parse_leaving,
+    "JOINED": _parse_proxy_joined,
+    "UNSUBSCRIBED": _parse_proxy_left,
     "DIGEST": _parse_attempts,
     "OFFERED_LOAD": _parse_requests,
     "ACTIVITY": _parse_key_range_requests,
@@ -239,12 +243,12 @@
 
 
 def is_event(name: str) -> bool:
-    """Whether a message of this name is an event for the policy."""
+    """Return whether a message of this name is an event for the policy."""
     return name in _EVENT_PARSERS
 
 
 def parse_event(identifiers: WireIdentifiers, message: WireMessage) -> Event:
-    """Reads an event.
+    """Parse an event.
 
     Raises:
         ValueError, KeyError, OverflowError: A field is missing or malformed.
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -121,7 +121,7 @@
         ("CUSTODY", "KeyError: 'map-id'"),
         ("NONSENSE", "WireError: unknown message"),
         ("JOINED agent", "WireError: no value in 'agent'"),
-        ("ITEM replica=q", "WireError: an entry outside a list"),
+        ("ITEM replica=q", "WireError: endpoint entry outside an endpoint list"),
         ("DIGEST hall=a replica=s-1 number=x", "ValueError"),
     ],
 )
