--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -36,7 +36,7 @@
 from gradehoist.policy.planner import Planner
 
 SECOND = 1_000_000
-ANY = RequestClass(
+UNRESTRICTED = RequestClass(
     latency_objective_us=SECOND,
     deadline_us=2 * SECOND,
     priority_weight=1.0,
@@ -46,8 +46,10 @@
     allowed_kinds=None,
     zone_local=False,
 )
-LOCAL = replace(ANY, priority_weight=3.0, idempotency=Idempotency.NOT_IDEMPOTENT, zone_local=True)
-BOUND = replace(LOCAL, allowed_zones=(0, 1), zone_local=False)
+ZONE_LOCAL = replace(
+    UNRESTRICTED, priority_weight=3.0, idempotency=Idempotency.NOT_IDEMPOTENT, zone_local=True
+)
+TWO_ZONES = replace(ZONE_LOCAL, allowed_zones=(0, 1), zone_local=False)
 
 CHANNEL = ChannelLimits(
     queue_limit_lines=2000.0,
@@ -61,7 +63,7 @@
 
 
 def policy_config(
-    classes: tuple[RequestClass, ...] = (ANY, BOUND, LOCAL),
+    classes: tuple[RequestClass, ...] = (UNRESTRICTED, TWO_ZONES, ZONE_LOCAL),
     seed: int = 7,
     health_checks: bool = True,
     proxies: int = 6,
@@ -97,9 +99,9 @@
     )
 
 
-def endpoint(n: int, phase: Phase = Phase.READY, started: int = 0, size: float = 1.0) -> Endpoint:
+def endpoint(n: int, phase: Phase = Phase.READY, started_us: int = 0, size: float = 1.0) -> Endpoint:
     """Return the entry of replica `n`, which is in zone `n % 3`."""
-    return Endpoint(replica=n, zone=n % 3, kind=0, cell=0, phase=phase, size=size, started_us=started)
+    return Endpoint(replica=n, zone=n % 3, kind=0, cell=0, phase=phase, size=size, started_us=started_us)
 
 
 @dataclass
@@ -122,9 +124,9 @@
     def __post_init__(self) -> None:
         self.policy = Planner(self.config, self.now_us)
 
-    def step(self, *events: Event, wait: int = 0) -> list[Order]:
+    def step(self, *events: Event, delay_us: int = 0) -> list[Order]:
         """Pass events to the policy `wait` µs from now; carry out and check its orders."""
-        self.now_us += wait
+        self.now_us += delay_us
         for event in events:
             self._note(event)
         orders = self.policy.handle(self.now_us, list(events))
@@ -234,7 +236,7 @@
             and (not limits.zone_local or entry.zone == self.proxies[proxy])
         ]
         since = self.unroutable_since.pop((proxy, class_index, table), self.now_us)
-        if warm and not self.open(table):
+        if warm and not self.open_lines(table):
             self.unroutable_since[proxy, class_index, table] = since
             unroutable = self.now_us - since
             assert (
@@ -248,13 +250,13 @@
                 entry.phase is Phase.READY or not is_named or n in self.withdrawn
             ), "sent to a drained replica"
 
-    def open(self, table: int) -> dict[int, float]:
+    def open_lines(self, table: int) -> dict[int, float]:
         """Return the lines of a table that are not withdrawn."""
         return {n: w for n, w in self.tables.get(table, {}).items() if n not in self.withdrawn}
 
-    def share(self, proxy: int, cls: int, replica: int) -> float:
+    def traffic_share(self, proxy: int, request_class: int, replica: int) -> float:
         """Return the part of a proxy's requests of a class that goes to a replica."""
-        lines = self.open(self.bound[proxy][cls])
+        lines = self.open_lines(self.bound[proxy][request_class])
         return lines.get(replica, 0.0) / sum(lines.values())
 
     def acknowledge(self, most: int = 1000) -> list[Event]:
@@ -273,7 +275,7 @@
             if due >= next_report:
                 next_report += SECOND
                 events += load_reports(report or {})
-            self.step(*events, TimerFired(0), wait=due - self.now_us)
+            self.step(*events, TimerFired(0), delay_us=due - self.now_us)
         self.now_us = max(self.now_us, end)
 
 
@@ -294,10 +296,12 @@
     ]
 
 
-def running_fleet(count: int = 9, proxies: int = 4, settings: PolicyConfig | None = None) -> SimulatedFleet:
+def running_fleet(
+    replica_count: int = 9, proxies: int = 4, config: PolicyConfig | None = None
+) -> SimulatedFleet:
     """Return a fleet with replicas and bound proxies."""
-    fleet = SimulatedFleet(settings or policy_config())
-    fleet.step(EndpointsListed(EndpointListKind.CACHED, tuple(endpoint(n) for n in range(count))))
+    fleet = SimulatedFleet(config or policy_config())
+    fleet.step(EndpointsListed(EndpointListKind.CACHED, tuple(endpoint(n) for n in range(replica_count))))
     fleet.step(*(ProxyJoined(p, p % 3, 5.0) for p in range(proxies)))
     fleet.run(1)
     return fleet
--- a/tests/test_boundary_values.py
+++ b/tests/test_boundary_values.py
@@ -35,9 +35,9 @@
 )
 from gradehoist.protocol import feed, orca
 from tests.support.policy_fleet import (
-    ANY,
-    LOCAL,
     SECOND,
+    UNRESTRICTED,
+    ZONE_LOCAL,
     SimulatedFleet,
     endpoint,
     policy_config,
@@ -98,29 +98,29 @@
     fleet.run(8, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(6)})
     sound(fleet)
     assert all(fleet.bound.values())
-    assert all(fleet.open(t) for b in fleet.bound.values() for t in b.values())
+    assert all(fleet.open_lines(t) for b in fleet.bound.values() for t in b.values())
 
 
 def test_a_pool_that_empties_fills_again_and_a_zone_without_replicas_is_served() -> None:
     fleet = running_fleet(3)
     fleet.step(EndpointsListed(EndpointListKind.SNAPSHOT, ()))
     fleet.run(3)
-    fleet.step(EndpointsListed(EndpointListKind.SNAPSHOT, (endpoint(0, started=fleet.now_us),)))
+    fleet.step(EndpointsListed(EndpointListKind.SNAPSHOT, (endpoint(0, started_us=fleet.now_us),)))
     fleet.run(30, {0: (6, 0, LoadReport(0.5, 2.0))})
     sound(fleet)
-    open_to_all = [fleet.open(b[0]) for b in fleet.bound.values()]
+    open_to_all = [fleet.open_lines(b[0]) for b in fleet.bound.values()]
     assert all(set(lines) == {0} for lines in open_to_all)
 
 
 def test_no_proxies_then_one_and_classes_of_one_replica() -> None:
-    alone = replace(ANY, allowed_zones=(2,))
-    fleet = SimulatedFleet(policy_config((ANY, alone, LOCAL)))
+    alone = replace(UNRESTRICTED, allowed_zones=(2,))
+    fleet = SimulatedFleet(policy_config((UNRESTRICTED, alone, ZONE_LOCAL)))
     fleet.step(EndpointsListed(EndpointListKind.SNAPSHOT, tuple(endpoint(n) for n in range(3))))
     fleet.run(5, {n: (VAST, VAST, None) for n in range(3)})
     fleet.step(ProxyJoined(0, 0, 0.0))
     fleet.run(5, {n: (9, 9, None) for n in range(3)})
     sound(fleet)
-    assert set(fleet.open(fleet.bound[0][1])) == {2}  # all its tries fail, and it is the only one
+    assert set(fleet.open_lines(fleet.bound[0][1])) == {2}  # all its tries fail, and it is the only one
 
 
 def test_an_hour_s_pause_of_the_governor_does_not_freeze_the_loop() -> None:
@@ -129,9 +129,9 @@
     fleet.run(5, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(2)})
     fleet.now_us, fleet.timers = fleet.now_us + HOUR, [fleet.now_us + HOUR]
     fleet.step(*(AttemptsReported(n % 3, n, 6, 0, 200_000, HOUR, LoadReport(0.5, 2.0)) for n in range(2)))
-    before = fleet.share(0, 0, 0)
+    before = fleet.traffic_share(0, 0, 0)
     fleet.run(60, {0: (6, 0, LoadReport(1.0, 12.0)), 1: (6, 0, LoadReport(0.3, 1.0))})
-    assert fleet.share(0, 0, 0) < 0.8 * before
+    assert fleet.traffic_share(0, 0, 0) < 0.8 * before
 
 
 def test_on_a_machine_just_booted_a_replica_that_runs_for_long_is_warm() -> None:
@@ -159,9 +159,9 @@
         AttemptsReported(0, 0, 9, 9, 0, SECOND, None),
         HealthChecked(0, HealthCheckOutcome.HEALTHY, 1, None),
     )  # a late word
-    fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, started=fleet.now_us),)))
+    fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, started_us=fleet.now_us),)))
     fleet.run(20, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(9) if n != 4})
-    assert fleet.share(0, 0, 0) > 0
+    assert fleet.traffic_share(0, 0, 0) > 0
     assert 0 not in fleet.withdrawn
     sound(fleet)
 
@@ -193,7 +193,7 @@
     fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, GONE),)))
     fleet.run(3, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(9)})
     fleet.now_us, fleet.timers = fleet.now_us + HOUR, [fleet.now_us + HOUR]
-    back = endpoint(0, started=fleet.now_us)
+    back = endpoint(0, started_us=fleet.now_us)
     fleet.step(
         *fleet.acknowledge(), EndpointsListed(EndpointListKind.DELTA, (back,)), TimerFired(0)
     )  # due in the same batch
@@ -203,7 +203,7 @@
         assert 0 in fleet.withdrawn
         fleet.step(EndpointsListed(EndpointListKind.DELTA, (back,)))
     fleet.run(20, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(9)})
-    assert fleet.share(0, 0, 0) > 0
+    assert fleet.traffic_share(0, 0, 0) > 0
     assert 0 not in fleet.withdrawn
 
 
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -12,7 +12,7 @@
 from gradehoist.interface import LoadReport, ProxyJoined, ProxyLeft, RequestsOffered
 from gradehoist.messages import Availability, LiftWithdrawal, ProxyAssigned, SetAvailability
 from gradehoist.numeric import majority_median
-from tests.support.policy_fleet import ANY, LOCAL, policy_config
+from tests.support.policy_fleet import UNRESTRICTED, ZONE_LOCAL, policy_config
 
 
 @pytest.fixture
@@ -76,7 +76,7 @@
 
 
 def test_demand_is_of_our_own_proxies_and_of_those_of_other_governors(loop: MessageLoop) -> None:
-    config = policy_config(classes=(ANY, LOCAL), proxies=6)
+    config = policy_config(classes=(UNRESTRICTED, ZONE_LOCAL), proxies=6)
     rates = RequestRates(loop, config, class_sets=[(0,), (1,)], group_zones=[0, 0, 1, 2], smoothing=0.5)
     publish(loop, ProxyJoined(0, 0, 10.0), ProxyJoined(1, 0, 30.0), ProxyAssigned(0, 0), ProxyAssigned(1, 1))
     demand = rates.demand(zone_count=3)
@@ -87,7 +87,7 @@
 
 
 def test_rates_move_toward_what_proxies_report_until_they_leave(loop: MessageLoop) -> None:
-    rates = RequestRates(loop, policy_config(classes=(ANY,)), [(0,)], group_zones=[0], smoothing=0.5)
+    rates = RequestRates(loop, policy_config(classes=(UNRESTRICTED,)), [(0,)], group_zones=[0], smoothing=0.5)
     publish(loop, ProxyJoined(0, 0, 10.0), RequestsOffered(0, 0, 40, 0, 2 * SECOND))
     assert rates.proxies[0].rates == [15.0]
     assert rates.take_recent_requests(decay=0.25) == [40.0]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -40,10 +40,10 @@
 from gradehoist.messages import Availability, Tables
 from gradehoist.policy.tables import ProxyGroup
 from tests.support.policy_fleet import (
-    ANY,
-    BOUND,
-    LOCAL,
     SECOND,
+    TWO_ZONES,
+    UNRESTRICTED,
+    ZONE_LOCAL,
     SimulatedFleet,
     endpoint,
     policy_config,
@@ -62,18 +62,18 @@
     fleet = running_fleet()
     binds = [o for o in fleet.orders if isinstance(o, BindProxy)]
     assert len(binds) == 4 * 3
-    assert all(fleet.open(o.table) for o in binds)
+    assert all(fleet.open_lines(o.table) for o in binds)
     fleet.run(10, {n: CALM for n in range(9)})
     assert len([o for o in fleet.orders if isinstance(o, BindProxy)]) == 12
 
 
 def test_weight_leaves_a_busy_replica_and_stays_on_even_load() -> None:
     fleet = running_fleet()
-    before = fleet.share(0, 0, 0)
+    before = fleet.traffic_share(0, 0, 0)
     fleet.run(10, {n: CALM for n in range(9)})
-    assert abs(fleet.share(0, 0, 0) - before) < 0.05
+    assert abs(fleet.traffic_share(0, 0, 0) - before) < 0.05
     fleet.run(15, {n: CALM for n in range(9)} | {0: (6, 0, LoadReport(1.0, 12.0))})
-    assert fleet.share(0, 0, 0) < before / 2
+    assert fleet.traffic_share(0, 0, 0) < before / 2
 
 
 def test_too_many_missing_reports_skip_the_update() -> None:
@@ -89,38 +89,38 @@
 
 def test_one_order_withdraws_a_draining_replica_and_its_return_is_a_slow_start() -> None:
     fleet = running_fleet()
-    usual = fleet.share(0, 0, 0)
-    orders = fleet.step(change(endpoint(0, DRAINING)), wait=SECOND // 50)
+    usual = fleet.traffic_share(0, 0, 0)
+    orders = fleet.step(change(endpoint(0, DRAINING)), delay_us=SECOND // 50)
     assert [o for o in orders if isinstance(o, WithdrawReplica)] == [WithdrawReplica(0, True)]
     fleet.run(5, {n: CALM for n in range(1, 9)})
-    orders = fleet.step(change(endpoint(0, READY, fleet.now_us)), wait=SECOND // 50)
+    orders = fleet.step(change(endpoint(0, READY, fleet.now_us)), delay_us=SECOND // 50)
     order = [type(o) for o in orders if isinstance(o, WithdrawReplica) or getattr(o, "replica", -1) == 0]
     assert {WithdrawReplica, SetWeight} <= set(order), "the low line goes with the return"
-    assert 0 < fleet.share(0, 0, 0) < usual / 4
+    assert 0 < fleet.traffic_share(0, 0, 0) < usual / 4
     fleet.run(14, {n: CALM for n in range(9)})
-    assert fleet.share(0, 0, 0) > usual / 2
+    assert fleet.traffic_share(0, 0, 0) > usual / 2
 
 
 def test_a_restart_never_listed_as_gone_gets_its_low_weight_at_once() -> None:
     fleet = running_fleet()
-    usual = fleet.share(0, 0, 3)
+    usual = fleet.traffic_share(0, 0, 3)
     fleet.run(5, {n: CALM for n in range(9)})
-    fleet.step(change(endpoint(3, READY, fleet.now_us - SECOND)), wait=SECOND // 50)
-    assert fleet.share(0, 0, 3) < usual / 3
+    fleet.step(change(endpoint(3, READY, fleet.now_us - SECOND)), delay_us=SECOND // 50)
+    assert fleet.traffic_share(0, 0, 3) < usual / 3
 
 
 def test_a_zone_that_returns_cold_is_not_overloaded_by_its_own_traffic() -> None:
-    fleet = running_fleet(settings=policy_config((ANY,)))
+    fleet = running_fleet(config=policy_config((UNRESTRICTED,)))
     zone = [0, 3, 6]
-    fleet.step(change(*(endpoint(n, GONE) for n in zone)), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, GONE) for n in zone)), delay_us=SECOND // 50)
     fleet.run(5, {n: CALM for n in range(9) if n not in zone})
-    fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in zone)), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in zone)), delay_us=SECOND // 50)
     fleet.run(0.5)
-    assert sum(fleet.share(0, 0, n) for n in zone) < 0.25  # a fifth of a third is what they can do
+    assert sum(fleet.traffic_share(0, 0, n) for n in zone) < 0.25  # a fifth of a third is what they can do
 
 
 def test_a_failing_replica_is_ejected_and_half_of_each_class_stays() -> None:
-    fleet = running_fleet(settings=policy_config(health_checks=False))
+    fleet = running_fleet(config=policy_config(health_checks=False))
     fleet.run(3, {n: CALM for n in range(9)})
     fleet.run(4, {n: CALM for n in range(9)} | {0: (6, 6, None)})
     assert 0 in fleet.withdrawn
@@ -132,7 +132,7 @@
     ][-1]
     assert low < 0.2 * fleet.tables[0][0]
     # Several failing in one batch must not all be ejected as the first: warm ones stay for each class.
-    fleet = running_fleet(settings=policy_config(health_checks=False))
+    fleet = running_fleet(config=policy_config(health_checks=False))
     fleet.run(2, {n: CALM for n in range(9)})
     fleet.run(3, {n: CALM for n in range(9)} | {n: (6, 6, None) for n in (0, 3, 6)})
     assert len(fleet.withdrawn) <= 1
@@ -140,9 +140,9 @@
 
 def test_a_cold_replica_waits_withdrawn_in_an_overload_until_the_pool_is_calm() -> None:
     fleet = running_fleet()
-    fleet.step(change(endpoint(0, GONE)), wait=SECOND // 50)
+    fleet.step(change(endpoint(0, GONE)), delay_us=SECOND // 50)
     fleet.run(5, {n: (6, 4, LoadReport(1.0, 20.0)) for n in range(1, 9)})
-    fleet.step(change(endpoint(0, READY, fleet.now_us)), wait=SECOND // 50)
+    fleet.step(change(endpoint(0, READY, fleet.now_us)), delay_us=SECOND // 50)
     fleet.run(2, {n: (6, 4, LoadReport(1.0, 20.0)) for n in range(1, 9)})
     assert 0 in fleet.withdrawn
     fleet.run(7, {n: CALM for n in range(1, 9)})
@@ -150,29 +150,31 @@
 
 
 def test_a_replica_readmitted_before_its_restart_is_listed_waits_in_an_overload() -> None:
-    fleet = running_fleet(settings=policy_config(health_checks=False))
+    fleet = running_fleet(config=policy_config(health_checks=False))
     fleet.run(3, {n: CALM for n in range(9)})
     fleet.run(3, {n: CALM for n in range(9)} | {0: (6, 6, None)})
     assert 0 in fleet.withdrawn
     fleet.run(4, {n: (6, 4, LoadReport(1.0, 20.0)) for n in range(1, 9)})
     assert 0 not in fleet.withdrawn
-    fleet.step(change(endpoint(0, READY, fleet.now_us - 3 * SECOND)), wait=SECOND // 50)
+    fleet.step(change(endpoint(0, READY, fleet.now_us - 3 * SECOND)), delay_us=SECOND // 50)
     assert 0 in fleet.withdrawn
 
 
 def test_an_ejection_ends_when_the_list_takes_the_other_replicas() -> None:
-    fleet = running_fleet(settings=policy_config(health_checks=False))
+    fleet = running_fleet(config=policy_config(health_checks=False))
     fleet.run(3, {n: CALM for n in range(9)})
     fleet.run(3, {n: CALM for n in range(9)} | {0: (6, 6, None)})
     assert 0 in fleet.withdrawn
-    fleet.step(change(endpoint(3, GONE), endpoint(6, DRAINING)), wait=SECOND // 50)
+    fleet.step(change(endpoint(3, GONE), endpoint(6, DRAINING)), delay_us=SECOND // 50)
     fleet.run(1)
     assert 0 not in fleet.withdrawn, "the only server of its zone's own class is let back"
 
 
 def test_saturation_rejects_the_least_priority_first_and_recovers() -> None:
     fleet = running_fleet()
-    fleet.step(*(RequestsOffered(p, k, 10, 0, SECOND) for p in range(4) for k in range(3)), wait=SECOND // 50)
+    fleet.step(
+        *(RequestsOffered(p, k, 10, 0, SECOND) for p in range(4) for k in range(3)), delay_us=SECOND // 50
+    )
     fleet.run(4, {n: (6, 3, LoadReport(1.0, 20.0)) for n in range(9)})
     share = {o.classes[0]: o for o in fleet.orders if isinstance(o, SetAdmission)}
     assert share[0].admitted_share < 0.7
@@ -184,20 +186,20 @@
 
 
 def test_other_governors_demand_does_not_follow_an_overloaded_zone() -> None:
-    fleet = running_fleet(proxies=1, settings=policy_config((ANY,)))  # one proxy of six, in zone 0
+    fleet = running_fleet(proxies=1, config=policy_config((UNRESTRICTED,)))  # one proxy of six, in zone 0
     hot = {n: (6, 0, LoadReport(0.98 if n % 3 == 0 else 0.4, 8.0 if n % 3 == 0 else 1.0)) for n in range(9)}
     fleet.run(6, hot)
-    early = sum(fleet.share(0, 0, n) for n in (0, 3, 6))
+    early = sum(fleet.traffic_share(0, 0, n) for n in (0, 3, 6))
     assert early < 0.9  # by the zone's heat, before its weights have fallen
     fleet.run(14, hot)
-    assert sum(fleet.share(0, 0, n) for n in (0, 3, 6)) < min(0.8, early)
+    assert sum(fleet.traffic_share(0, 0, n) for n in (0, 3, 6)) < min(0.8, early)
 
 
 def test_the_queue_is_counted_by_acknowledgements_not_by_the_stated_rate() -> None:
-    fleet = running_fleet(12, settings=policy_config(queue_limit_lines=240.0))
+    fleet = running_fleet(12, config=policy_config(queue_limit_lines=240.0))
     for n in range(60):  # nothing is acknowledged: the channel has all but stopped, yet servers come and go
         told = change(endpoint(n % 9, (DRAINING, READY)[n // 9 % 2], fleet.now_us))
-        fleet.step(told, TimerFired(0), wait=SECOND // 10)
+        fleet.step(told, TimerFired(0), delay_us=SECOND // 10)
     assert sum(lines for _, _, lines in fleet.unacknowledged) > 0.5 * 240
 
 
@@ -222,7 +224,7 @@
             ]
         elif what == 5:
             events = [HealthChecked(n, list(HealthCheckOutcome)[x % 7], 1000, None)]
-        fleet.step(*events, wait=SECOND // 100)
+        fleet.step(*events, delay_us=SECOND // 100)
         load = LoadReport((n * x % 11) / 10, float(n + x))
         heard = {m: (x, x * (m == n or x == 7), load if m % 2 else CALM[2]) for m in range(9 - n % 3)}
         fleet.run(x / 4, heard)
@@ -260,17 +262,17 @@
 
 
 def test_only_local_replicas_serve_a_zone_local_class_even_when_the_zone_is_empty() -> None:
-    fleet = running_fleet(settings=replace(policy_config((ANY, LOCAL)), seed=3))
-    fleet.step(change(*(endpoint(n, GONE) for n in (0, 3, 6))), wait=SECOND // 50)
+    fleet = running_fleet(config=replace(policy_config((UNRESTRICTED, ZONE_LOCAL)), seed=3))
+    fleet.step(change(*(endpoint(n, GONE) for n in (0, 3, 6))), delay_us=SECOND // 50)
     fleet.run(3, {n: CALM for n in range(9) if n % 3})
-    assert not fleet.open(fleet.bound[0][1])
-    assert fleet.open(fleet.bound[0][0])
-    fleet.step(change(endpoint(0, READY, fleet.now_us)), wait=SECOND // 50)
+    assert not fleet.open_lines(fleet.bound[0][1])
+    assert fleet.open_lines(fleet.bound[0][0])
+    fleet.step(change(endpoint(0, READY, fleet.now_us)), delay_us=SECOND // 50)
     fleet.run(1, {n: CALM for n in range(9) if n % 3})
-    assert not fleet.open(fleet.bound[0][1]), "alone and cold, it would get all of the class"
-    fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in (3, 6))), wait=SECOND // 50)
+    assert not fleet.open_lines(fleet.bound[0][1]), "alone and cold, it would get all of the class"
+    fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in (3, 6))), delay_us=SECOND // 50)
     fleet.run(11, {n: CALM for n in range(9)})
-    assert fleet.open(fleet.bound[0][1])
+    assert fleet.open_lines(fleet.bound[0][1])
 
 
 def test_binds_of_a_large_fleet_and_its_returns_stay_within_the_queue() -> None:
@@ -282,9 +284,9 @@
     assert max(p for p, _, _ in fleet.unacknowledged) == 11, "those with most traffic are bound first"
     fleet.run(6, {n: CALM for n in range(90)})
     assert all(len(fleet.bound[p]) == 3 for p in range(12))
-    fleet.step(change(*(endpoint(n, GONE) for n in range(0, 30))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, GONE) for n in range(0, 30))), delay_us=SECOND // 50)
     fleet.run(3, {n: CALM for n in range(30, 90)})
-    fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in range(0, 30))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in range(0, 30))), delay_us=SECOND // 50)
     fleet.run(4, {n: CALM for n in range(30, 90)})
     assert not fleet.withdrawn
 
@@ -300,50 +302,52 @@
     fleet.run(8)
     assert all(len(b) == 3 for b in fleet.bound.values())
     assert len(fleet.withdrawn) >= 20
-    fleet.step(change(*(endpoint(n, GONE) for n in range(20))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, GONE) for n in range(20))), delay_us=SECOND // 50)
     assert not any(isinstance(o, WithdrawReplica) for o in fleet.orders[-60:]), "withdrawn once is enough"
     fleet.run(8, {n: CALM for n in range(20, 60)})
     assert all(n not in t for t in fleet.tables.values() for n in range(20)), "gone lines lengthen binds"
 
 
 def test_a_replica_that_fails_attempts_does_not_gain_weight_by_looking_idle() -> None:
-    fleet = running_fleet(settings=policy_config((ANY,)))
+    fleet = running_fleet(config=policy_config((UNRESTRICTED,)))
     fair = LoadReport(0.5, 3.0)
     fleet.run(8, {n: (6, 0, fair) for n in range(1, 9)} | {0: (6, 4, LoadReport(0.2, 1.0))})
-    assert fleet.share(0, 0, 0) < 1.3 * fleet.share(0, 0, 3)
+    assert fleet.traffic_share(0, 0, 0) < 1.3 * fleet.traffic_share(0, 0, 3)
 
 
 def test_the_loop_steps_where_reports_come_slower_than_stated() -> None:
-    fleet = running_fleet(settings=policy_config((ANY,)))
+    fleet = running_fleet(config=policy_config((UNRESTRICTED,)))
     for r in range(12):  # each server is heard only every fourth second
         for n in range(9):
             load = LoadReport(0.9 if n == 4 else 0.4, 8.0 if n == 4 else 2.0)
             heard = [AttemptsReported(z, n, 24, 0, 200_000, 4 * SECOND, load) for z in range(3)]
-            fleet.step(*(heard if (r + n) % 4 == 0 else []), wait=SECOND // 100)
+            fleet.step(*(heard if (r + n) % 4 == 0 else []), delay_us=SECOND // 100)
         fleet.run(0.9)
     fleet.run(8)
-    assert fleet.share(1, 0, 4) < 0.9 * fleet.share(1, 0, 1)  # as its own zone's proxies hold it
+    assert fleet.traffic_share(1, 0, 4) < 0.9 * fleet.traffic_share(
+        1, 0, 1
+    )  # as its own zone's proxies hold it
 
 
 def test_the_first_replicas_to_return_do_not_get_what_the_zone_keeps_for_those_that_wait() -> None:
     fleet = running_fleet(
-        60, proxies=6, settings=policy_config((ANY,), queue_limit_lines=250.0)
+        60, proxies=6, config=policy_config((UNRESTRICTED,), queue_limit_lines=250.0)
     )  # room for few returns at a time
     zone = range(0, 60, 3)
     fleet.run(20, {n: CALM for n in range(60)})
-    fleet.step(change(*(endpoint(n, GONE) for n in zone)), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, GONE) for n in zone)), delay_us=SECOND // 50)
     fleet.run(6, {n: CALM for n in range(60) if n % 3})
-    fleet.step(change(*(endpoint(n, READY, fleet.now_us - 3 * SECOND) for n in zone)), wait=SECOND // 50)
-    shares = [fleet.share(0, 0, n) for n in zone if n not in fleet.withdrawn]
+    fleet.step(change(*(endpoint(n, READY, fleet.now_us - 3 * SECOND) for n in zone)), delay_us=SECOND // 50)
+    shares = [fleet.traffic_share(0, 0, n) for n in zone if n not in fleet.withdrawn]
     assert 0 < len(shares) < 20
     assert max(shares) < 0.04
 
 
 def test_many_drains_go_in_few_messages_in_the_order_they_were_listed() -> None:
-    fleet = running_fleet(60, proxies=6, settings=policy_config((ANY,), queue_limit_lines=200.0))
-    fleet.step(*(change(endpoint(n, DRAINING)) for n in range(30)), wait=SECOND // 50)
+    fleet = running_fleet(60, proxies=6, config=policy_config((UNRESTRICTED,), queue_limit_lines=200.0))
+    fleet.step(*(change(endpoint(n, DRAINING)) for n in range(30)), delay_us=SECOND // 50)
     first = set(fleet.withdrawn)
-    fleet.step(change(endpoint(29, GONE), endpoint(28, GONE)), wait=SECOND // 50)
+    fleet.step(change(endpoint(29, GONE), endpoint(28, GONE)), delay_us=SECOND // 50)
     assert first
     assert first == set(range(len(first)))
     fleet.run(3)
@@ -362,7 +366,7 @@
     fleet.run(9)
     fleet.step(*(ProxyJoined(p, p % 3, 5.0) for p in range(30, 58)))
     for _ in range(3):
-        fleet.step(*fleet.acknowledge(1), TimerFired(0), wait=20_000)
+        fleet.step(*fleet.acknowledge(1), TimerFired(0), delay_us=20_000)
     fleet.step(change(*(endpoint(n, DRAINING) for n in range(12))))
     pending, mark = fleet.policy.fleet.withdrawals.pending, len(fleet.orders)
     assert len(pending) == 12
@@ -370,7 +374,7 @@
     while Availability.DRAINING in pending.values():
         assert not any(isinstance(o, BindProxy) for o in fleet.orders[mark:])
         mark = len(fleet.orders)
-        fleet.step(*fleet.acknowledge(1), TimerFired(0), wait=50_000)
+        fleet.step(*fleet.acknowledge(1), TimerFired(0), delay_us=50_000)
     fleet.run(10)
     assert all(len(b) == 3 for b in fleet.bound.values())
 
@@ -378,7 +382,9 @@
 def herd(replicas: int = 200, proxies: int = 400, rate: float = 10.0) -> SimulatedFleet:
     """All the proxies of a fleet too large for its channel come to one governor at once."""
     fleet = SimulatedFleet(
-        policy_config((ANY,), queue_limit_lines=22.5 * proxies, lines_per_s=rate * proxies, proxies=proxies)
+        policy_config(
+            (UNRESTRICTED,), queue_limit_lines=22.5 * proxies, lines_per_s=rate * proxies, proxies=proxies
+        )
     )
     fleet.step(EndpointsListed(EndpointListKind.CACHED, tuple(endpoint(n) for n in range(replicas))))
     fleet.step(*(ProxyJoined(p, p % 3, 5.0) for p in range(proxies)))
@@ -391,7 +397,7 @@
         room, done = fleet.config.channel.lines_per_s / 20, 0
         while done < len(fleet.unacknowledged) and fleet.unacknowledged[done][2] <= room:
             room, done = room - fleet.unacknowledged[done][2], done + 1
-        fleet.step(*fleet.acknowledge(done), TimerFired(0), wait=SECOND // 20)
+        fleet.step(*fleet.acknowledge(done), TimerFired(0), delay_us=SECOND // 20)
 
 
 def test_a_herd_of_proxies_on_one_governor_is_bound_before_its_old_tables_are_stale() -> None:
@@ -408,7 +414,7 @@
     share = [0.0] * 200
     for p in fleet.proxies:
         for n in fleet.tables[fleet.bound[p][0]]:
-            share[n] += fleet.share(p, 0, n)
+            share[n] += fleet.traffic_share(p, 0, n)
     assert max(share) < 1.6 * sum(share) / 200
     assert min(share) > 0.6 * sum(share) / 200
 
@@ -418,7 +424,9 @@
     of 1,240 that joined were bound after 6.8 s where 6.4 are allowed, and sent to what had left."""
     proxies, grace = 400, 2 * SECOND
     fleet = SimulatedFleet(
-        policy_config((ANY,), queue_limit_lines=22.5 * proxies, lines_per_s=20.0 * proxies, proxies=proxies)
+        policy_config(
+            (UNRESTRICTED,), queue_limit_lines=22.5 * proxies, lines_per_s=20.0 * proxies, proxies=proxies
+        )
     )
     fleet.step(EndpointsListed(EndpointListKind.CACHED, tuple(endpoint(n) for n in range(200))))
     joined = fleet.now_us
@@ -438,7 +446,7 @@
     fleet = herd()
     paced(fleet, 5)
     assert not fleet.unacknowledged
-    fleet.step(change(*(endpoint(n, DRAINING) for n in range(30))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, DRAINING) for n in range(30))), delay_us=SECOND // 50)
     assert fleet.withdrawn == set(range(30))
     assert 0 < sum(n for _, _, n in fleet.unacknowledged) < 400 * 12
 
@@ -451,22 +459,22 @@
     for n in range(0, 120, 10):
         old, new = range(n, n + 10), range(200 + n, 210 + n)
         fleet.step(
-            change(*(endpoint(x, DRAINING) for x in old), *(endpoint(x) for x in new)), wait=SECOND // 50
+            change(*(endpoint(x, DRAINING) for x in old), *(endpoint(x) for x in new)), delay_us=SECOND // 50
         )
         paced(fleet, 1)
-        assert min(len(fleet.open(by[0])) for by in fleet.bound.values()) >= 3
+        assert min(len(fleet.open_lines(by[0])) for by in fleet.bound.values()) >= 3
 
 
 def test_returns_in_a_large_fleet_keep_to_the_cap_on_messages_of_those_that_get_new_lines() -> None:
     """join+mass: replicas that came back one by one were new lines to proxies that no return had counted."""
     fleet = herd(proxies=30, rate=40.0)
     paced(fleet, 3)
-    fleet.step(change(*(endpoint(n, GONE) for n in range(0, 150, 3))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, GONE) for n in range(0, 150, 3))), delay_us=SECOND // 50)
     paced(fleet, 12)
     for n in range(0, 150, 3):  # World.check holds the cap
-        fleet.step(change(endpoint(n, READY, fleet.now_us - 30 * SECOND)), wait=SECOND // 50)
+        fleet.step(change(endpoint(n, READY, fleet.now_us - 30 * SECOND)), delay_us=SECOND // 50)
         for _ in range(3):
-            fleet.step(*fleet.acknowledge(), TimerFired(0), wait=SECOND // 20)
+            fleet.step(*fleet.acknowledge(), TimerFired(0), delay_us=SECOND // 20)
     paced(fleet, 15)
     assert not fleet.withdrawn
 
@@ -476,14 +484,15 @@
     cold for 6 s, it was sent 6.4 times what it could do, and fell over."""
     fleet = herd(proxies=300)
     paced(fleet, 4)
-    fleet.step(change(*(endpoint(n, GONE) for n in range(0, 200, 3))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, GONE) for n in range(0, 200, 3))), delay_us=SECOND // 50)
     paced(fleet, 12)
     back = range(0, 198, 39)  # close to each other by the golden section's places
-    fleet.step(change(*(endpoint(n) for n in back)), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n) for n in back)), delay_us=SECOND // 50)
     paced(fleet, 6)
     sums = [
         sum(
-            fleet.open(fleet.bound[p][0]).get(n, 0.0) / sum(fleet.open(fleet.bound[p][0]).values())
+            fleet.open_lines(fleet.bound[p][0]).get(n, 0.0)
+            / sum(fleet.open_lines(fleet.bound[p][0]).values())
             for p in fleet.proxies
         )
         for n in back
@@ -494,14 +503,18 @@
 def test_a_proxy_with_much_of_the_traffic_does_not_overload_its_subset() -> None:
     """roll+mass seed 5, of 30 nodes: one proxy of 240 had a tenth of the traffic, and pushed over the cold
     servers among its twenty lines (sent 5.7 times what they could do)."""
-    fleet = SimulatedFleet(policy_config((ANY,), queue_limit_lines=2_000.0, lines_per_s=800.0, proxies=60))
+    fleet = SimulatedFleet(
+        policy_config((UNRESTRICTED,), queue_limit_lines=2_000.0, lines_per_s=800.0, proxies=60)
+    )
     fleet.step(EndpointsListed(EndpointListKind.CACHED, tuple(endpoint(n) for n in range(200))))
     rates = {p: 300.0 if p == 0 else 5.0 for p in range(60)}
     fleet.step(*(ProxyJoined(p, p % 3, rate) for p, rate in rates.items()))
     fleet.run(6, calm := {n: CALM for n in range(200)})
-    fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in range(0, 200, 2))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in range(0, 200, 2))), delay_us=SECOND // 50)
     fleet.run(6, calm)
-    flow = {n: sum(rate * fleet.share(p, 0, n) for p, rate in rates.items()) for n in range(0, 200, 2)}
+    flow = {
+        n: sum(rate * fleet.traffic_share(p, 0, n) for p, rate in rates.items()) for n in range(0, 200, 2)
+    }
     zone = [x for n, x in flow.items() if n % 3 == 0]
     assert fleet.bound[0][0] in fleet.tables
     assert 0 < max(zone) < 3 * sum(zone) / len(zone)
@@ -509,7 +522,9 @@
 
 def test_many_replicas_that_return_at_once_are_planned_for_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """roll+mass: a hundred returns in one reply were a hundred plans, and a step of 1.3 s."""
-    fleet = SimulatedFleet(policy_config((ANY,), queue_limit_lines=100_000.0, lines_per_s=800.0, proxies=60))
+    fleet = SimulatedFleet(
+        policy_config((UNRESTRICTED,), queue_limit_lines=100_000.0, lines_per_s=800.0, proxies=60)
+    )
     fleet.step(EndpointsListed(EndpointListKind.CACHED, tuple(endpoint(n) for n in range(200))))
     fleet.step(*(ProxyJoined(p, p % 3, 5.0) for p in range(60)))
     fleet.run(6, calm := {n: CALM for n in range(200)})
@@ -521,9 +536,9 @@
         return plan(*arguments)
 
     monkeypatch.setattr(locality, "plan", counted_plan)
-    fleet.step(change(*(endpoint(n, DRAINING) for n in range(40))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, DRAINING) for n in range(40))), delay_us=SECOND // 50)
     fleet.run(4, calm)
-    orders = fleet.step(change(*(endpoint(n) for n in range(40))), wait=SECOND // 50)
+    orders = fleet.step(change(*(endpoint(n) for n in range(40))), delay_us=SECOND // 50)
     assert sum(isinstance(o, WithdrawReplica) and not o.withdrawn for o in orders) > 10
     assert 0 < plans[fleet.now_us] <= 2
 
@@ -559,10 +574,10 @@
 
 def test_admission_rates_follow_the_requests_that_came_not_those_assumed_at_joining() -> None:
     """The cheap class, seven tenths of what comes and taken for a third, was cut to nothing."""
-    fleet = running_fleet(settings=policy_config((ANY, BOUND)))
+    fleet = running_fleet(config=policy_config((UNRESTRICTED, TWO_ZONES)))
     fleet.step(
         *(RequestsOffered(p, k, n, 0, SECOND) for p in range(4) for k, n in ((0, 7), (1, 3))),
-        wait=SECOND // 50,
+        delay_us=SECOND // 50,
     )
     while not levels(fleet):
         fleet.run(2.2, {n: (9, 5, LoadReport(1.2, 30.0)) for n in range(9)})
@@ -573,12 +588,12 @@
 
 def test_admission_rates_go_before_returns_that_wait_for_their_round() -> None:
     fleet = running_fleet()
-    fleet.step(change(*(endpoint(n, DRAINING) for n in (0, 1))), wait=SECOND // 50)
+    fleet.step(change(*(endpoint(n, DRAINING) for n in (0, 1))), delay_us=SECOND // 50)
     fleet.run(2)
     fleet.policy.publisher.next_broadcast_us = fleet.now_us
     fleet.policy.fleet.withdrawals.pending = {0: Availability.AVAILABLE, 1: Availability.AVAILABLE}
     fleet.policy.fleet.flow.admission_orders = [SetAdmission(None, (0,), 0.5, 0)]
-    orders = fleet.step(wait=SECOND)
+    orders = fleet.step(delay_us=SECOND)
     told = [o for o in orders if isinstance(o, SetAdmission | WithdrawReplica)]
     assert isinstance(told[0], SetAdmission)
     assert len(told) == 3, "in one message with the returns"
@@ -587,7 +602,11 @@
 def shares(fleet: SimulatedFleet, proxy: int, cls: int) -> list[float]:
     """Of a proxy's table, what goes to each zone."""
     return [
-        sum(fleet.share(proxy, cls, n) for n in fleet.open(fleet.bound[proxy][cls]) if n % 3 == z)
+        sum(
+            fleet.traffic_share(proxy, cls, n)
+            for n in fleet.open_lines(fleet.bound[proxy][cls])
+            if n % 3 == z
+        )
         for z in range(3)
     ]
 
@@ -608,7 +627,7 @@
     assert shares(fleet, 0, 2)[0] == 1.0
     fleet.step(QuotasAgreed(tuple((z, 0.0) for z in range(3))))  # never the last zone: somebody has to serve
     fleet.run(6, {n: CALM for n in range(9)})
-    assert all(fleet.open(t) for by in fleet.bound.values() for t in by.values())
+    assert all(fleet.open_lines(t) for by in fleet.bound.values() for t in by.values())
     fleet.step(QuotasAgreed())
     fleet.run(6, {n: CALM for n in range(9)})
     assert shares(fleet, 0, 0)[0] > 0.9
@@ -617,12 +636,12 @@
 def test_a_cold_replica_gets_the_warmup_quota_of_this_governor() -> None:
     fleet = running_fleet()
     fleet.run(5, {n: CALM for n in range(9)})
-    fleet.step(change(endpoint(0, started=fleet.now_us)), QuotasAgreed((), ((0, 0.25),)))
+    fleet.step(change(endpoint(0, started_us=fleet.now_us)), QuotasAgreed((), ((0, 0.25),)))
     fleet.run(4, {n: CALM for n in range(9)})
-    few = fleet.share(0, 0, 0)
+    few = fleet.traffic_share(0, 0, 0)
     fleet.step(QuotasAgreed())
     fleet.run(4, {n: CALM for n in range(9)})
-    assert 0 < few < 0.4 * fleet.share(0, 0, 0)
+    assert 0 < few < 0.4 * fleet.traffic_share(0, 0, 0)
 
 
 def test_at_most_the_agreed_share_of_a_class_is_admitted() -> None:
@@ -644,7 +663,7 @@
         for n in range(20):
             load = LoadReport(0.3 + 0.1 * (n % 7), 2.0 + n % 5)
             if n % 5 == 0:
-                fleet.step(*ceilings, change(endpoint(n % 9, started=fleet.now_us)), wait=SECOND // 20)
+                fleet.step(*ceilings, change(endpoint(n % 9, started_us=fleet.now_us)), delay_us=SECOND // 20)
             fleet.run(2, {k: (6, k == n % 9, load) for k in range(9)})
         traces.append(fleet.orders)
     assert traces[0] == traces[1] == traces[2]
@@ -655,10 +674,10 @@
     """The table's shares were of a sum of weights, which was nothing: the module ended, and its governor."""
     fleet = running_fleet()
     fleet.run(5, {n: CALM for n in range(9)})
-    back = [endpoint(n, started=fleet.now_us) for n in (0, 3, 6)]
+    back = [endpoint(n, started_us=fleet.now_us) for n in (0, 3, 6)]
     fleet.step(change(*back), QuotasAgreed((), tuple((n, 0.0) for n in (0, 3, 6))))
     fleet.run(12, {n: CALM for n in range(9)})
-    assert fleet.open(fleet.bound[0][2]).keys() == {0, 3, 6}  # a class that stays local
+    assert fleet.open_lines(fleet.bound[0][2]).keys() == {0, 3, 6}  # a class that stays local
 
 
 def late_line(report: dict[int, tuple[int, int, LoadReport | None]]) -> tuple[SimulatedFleet, set[int]]:
@@ -670,7 +689,7 @@
     fleet.run(6, {n: CALM for n in range(9)} | report)
     fleet.step(change(endpoint(9)))
     fleet.run(2)
-    return fleet, {p for p in (1, 2, 3) if any(9 in fleet.open(t) for t in fleet.bound[p].values())}
+    return fleet, {p for p in (1, 2, 3) if any(9 in fleet.open_lines(t) for t in fleet.bound[p].values())}
 
 
 def test_a_proxy_that_may_have_no_more_messages_holds_up_its_own_group_alone() -> None:
