--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet that carries out a policy's orders, and checks the safety rules after every step."""
+"""A simulated fleet that executes a policy's orders, and checks the safety rules after each step."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     message_window_us=10 * SECOND,
 )
 
-Report = tuple[int, int, LoadReport | None]  # attempts, failures and load of a replica
+Report = tuple[int, int, LoadReport | None]  # of one replica: attempts, failures, load
 
 
 def policy_config(
@@ -69,7 +69,7 @@
     proxies: int = 6,
     **channel_limits: Any,
 ) -> PolicyConfig:
-    """Return the settings of a fleet of three zones; `channel_limits` replaces fields of `CHANNEL`."""
+    """Return the configuration of a fleet with three zones; `channel_limits` override fields of `CHANNEL`."""
     safety = SafetyLimits(
         drain_grace_us=2 * SECOND,
         warmup_us=10 * SECOND,
@@ -100,22 +100,22 @@
 
 
 def endpoint(n: int, phase: Phase = Phase.READY, started_us: int = 0, size: float = 1.0) -> Endpoint:
-    """Return the entry of replica `n`, which is in zone `n % 3`."""
+    """Return the endpoint list entry of replica `n`, which is in zone `n % 3`."""
     return Endpoint(replica=n, zone=n % 3, kind=0, cell=0, phase=phase, size=size, started_us=started_us)
 
 
 @dataclass
 class SimulatedFleet:
-    """Proxies that hold what they were sent, over a channel whose messages wait for acknowledgement."""
+    """Proxies with the tables that they were sent, and a channel whose messages await acknowledgement."""
 
     config: PolicyConfig = field(default_factory=policy_config)
     now_us: int = 100 * SECOND
     tables: dict[int, dict[int, float]] = field(default_factory=dict)
     proxies: dict[int, int] = field(default_factory=dict)  # zone by proxy
-    bound: dict[int, dict[int, int]] = field(default_factory=dict)  # table by class, by proxy
+    bound: dict[int, dict[int, int]] = field(default_factory=dict)  # by proxy: table by class
     withdrawn: set[int] = field(default_factory=set)
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
-    unacknowledged: deque[tuple[int, int, float]] = field(default_factory=deque)  # proxy, revision, lines
+    unacknowledged: deque[tuple[int, int, float]] = field(default_factory=deque)  # (proxy, revision, lines)
     timers: list[int] = field(default_factory=list)
     message_times: dict[int, list[int]] = field(default_factory=dict)  # by proxy
     orders: list[Order] = field(default_factory=list)
@@ -125,16 +125,16 @@
         self.policy = Planner(self.config, self.now_us)
 
     def step(self, *events: Event, delay_us: int = 0) -> list[Order]:
-        """Pass events to the policy `wait` µs from now; carry out and check its orders."""
+        """Pass events to the policy after `delay_us`; execute its orders and check the rules."""
         self.now_us += delay_us
         for event in events:
-            self._note(event)
+            self._record(event)
         orders = self.policy.handle(self.now_us, list(events))
         self.apply(orders)
         self.check()
         return orders
 
-    def _note(self, event: Event) -> None:
+    def _record(self, event: Event) -> None:
         match event:
             case EndpointsListed(kind, endpoints):
                 if kind is not EndpointListKind.DELTA:
@@ -151,27 +151,27 @@
                 self.unacknowledged = deque(sent for sent in self.unacknowledged if sent[0] != proxy)
 
     def apply(self, orders: list[Order]) -> None:
-        """Carry out orders, and queue one message for each proxy that they concern."""
+        """Execute orders, and queue one message for each proxy that they apply to."""
         self.orders += orders
         acknowledgement = next((o for o in orders if isinstance(o, RequestAcknowledgement)), None)
         lines: dict[int, float] = {}
         if acknowledgement and acknowledgement.to_all:
             lines = dict.fromkeys(self.proxies, 0.0)
         for order in orders:
-            for proxy, count in self._carry_out(order).items():
+            for proxy, count in self._execute(order).items():
                 lines[proxy] = lines.get(proxy, 0) + count
         for proxy, count in lines.items():
-            assert acknowledgement, "lines that nobody will acknowledge"
+            assert acknowledgement, "lines without a request for acknowledgement"
             cost = count + 1 + self.config.channel.message_overhead_lines
             self.unacknowledged.append((proxy, acknowledgement.revision, cost))
             self.message_times[proxy].append(self.now_us)
 
-    def _carry_out(self, order: Order) -> dict[int, float]:
-        """Return the lines that the order is to each proxy."""
+    def _execute(self, order: Order) -> dict[int, float]:
+        """Apply an order; return the number of lines that it costs, by proxy."""
         match order:
             case SetWeight(table, replica, weight):
                 assert weight >= 0
-                assert replica in self.endpoints, "a weight of a replica never listed"
+                assert replica in self.endpoints, "weight of a replica that was never listed"
                 self.tables.setdefault(table, {})[replica] = weight
                 if not weight:
                     del self.tables[table][replica]
@@ -186,20 +186,20 @@
                     self.withdrawn.add(replica)
                 else:
                     self.withdrawn.discard(replica)
-                return dict.fromkeys([p for p in self.bound if self._names(p, replica)], 1.0)
+                return dict.fromkeys([p for p in self.bound if self._has_line(p, replica)], 1.0)
             case SetAdmission(_, _, admitted_share, retry_policy):
                 assert 0 < admitted_share <= 1
-                assert retry_policy <= 1, "a retry that might run a request twice"
+                assert retry_policy <= 1, "retry that might execute a request twice"
                 return dict.fromkeys(self.proxies, 1.0)
             case SetTimer(_, delay_us):
                 self.timers.append(self.now_us + delay_us)
         return {}
 
-    def _names(self, proxy: int, replica: int) -> bool:
+    def _has_line(self, proxy: int, replica: int) -> bool:
         return any(replica in self.tables.get(table, {}) for table in self.bound[proxy].values())
 
     def check(self) -> None:
-        """Check queue and message caps, placement, a replica to pick for every class, and drains."""
+        """Check all rules: limits of queue and messages, placement, a usable replica per class, drains."""
         self._check_channel()
         for proxy in self.proxies:
             for class_index, table in self.bound[proxy].items():
@@ -216,14 +216,18 @@
         window_start = self.now_us - channel.message_window_us
         for proxy, times in self.message_times.items():
             recent = sum(time > window_start for time in times)
-            assert recent <= (channel.messages_per_window or recent), f"too often to {proxy}"
+            assert recent <= (
+                channel.messages_per_window or recent
+            ), f"message limit of proxy {proxy} exceeded"
 
     def _check_placement(self, proxy: int, class_index: int, table: int) -> None:
         limits = self.config.classes[class_index]
         for n in self.tables.get(table, {}):
             zone = self.endpoints[n].zone
-            assert limits.allowed_zones is None or zone in limits.allowed_zones, "outside its zones"
-            assert not limits.zone_local or zone == self.proxies[proxy], "outside its own zone"
+            assert (
+                limits.allowed_zones is None or zone in limits.allowed_zones
+            ), "outside the zones of the class"
+            assert not limits.zone_local or zone == self.proxies[proxy], "outside the zone of the proxy"
 
     def _check_routable(self, proxy: int, class_index: int, table: int) -> None:
         limits, safety = self.config.classes[class_index], self.config.safety
@@ -241,31 +245,31 @@
             unroutable = self.now_us - since
             assert (
                 unroutable <= safety.unroutable_limit_us
-            ), f"class {class_index} of proxy {proxy} has no replica"
+            ), f"class {class_index} of proxy {proxy} has no usable replica"
 
     def _check_drains(self) -> None:
         for n, entry in self.endpoints.items():
-            is_named = any(self._names(proxy, n) for proxy in self.bound)
+            has_line = any(self._has_line(proxy, n) for proxy in self.bound)
             assert (
-                entry.phase is Phase.READY or not is_named or n in self.withdrawn
-            ), "sent to a drained replica"
+                entry.phase is Phase.READY or not has_line or n in self.withdrawn
+            ), "table has a line for a drained replica"
 
     def open_lines(self, table: int) -> dict[int, float]:
-        """Return the lines of a table that are not withdrawn."""
+        """Return the lines of a table whose replica is not withdrawn."""
         return {n: w for n, w in self.tables.get(table, {}).items() if n not in self.withdrawn}
 
     def traffic_share(self, proxy: int, request_class: int, replica: int) -> float:
-        """Return the part of a proxy's requests of a class that goes to a replica."""
+        """Return the share of a proxy's requests of a class that goes to a replica."""
         lines = self.open_lines(self.bound[proxy][request_class])
         return lines.get(replica, 0.0) / sum(lines.values())
 
     def acknowledge(self, most: int = 1000) -> list[Event]:
-        """Return the acknowledgements of the messages that wait longest."""
+        """Return acknowledgements of the oldest messages, at most `most`."""
         done = [self.unacknowledged.popleft() for _ in range(min(most, len(self.unacknowledged)))]
         return [UpdateAcknowledged(p, revision, 1000) for p, revision, _ in done if p in self.proxies]
 
     def run(self, seconds: float, report: Mapping[int, Report] | None = None) -> None:
-        """Let time pass: timers fire, messages are acknowledged, each second the replicas report."""
+        """Advance the time: timers fire, messages are acknowledged, and replicas report each second."""
         end = self.now_us + int(seconds * SECOND)
         next_report = self.now_us + SECOND
         while self.timers and min(self.timers) <= end:
@@ -280,7 +284,7 @@
 
 
 def load_reports(reports: Mapping[int, Report]) -> list[Event]:
-    """Return what the proxies of each zone report of a second."""
+    """Return the load reports of one second, from the proxies of each zone."""
     return [
         AttemptsReported(
             zone=zone,
@@ -299,7 +303,7 @@
 def running_fleet(
     replica_count: int = 9, proxies: int = 4, config: PolicyConfig | None = None
 ) -> SimulatedFleet:
-    """Return a fleet with replicas and bound proxies."""
+    """Return a fleet whose replicas are listed and whose proxies are bound."""
     fleet = SimulatedFleet(config or policy_config())
     fleet.step(EndpointsListed(EndpointListKind.CACHED, tuple(endpoint(n) for n in range(replica_count))))
     fleet.step(*(ProxyJoined(p, p % 3, 5.0) for p in range(proxies)))
