--- a/bench/member.py
+++ b/bench/member.py
@@ -44,7 +44,7 @@
     late = list[float]()
 
     def changed(key: str) -> None:
-        if key == KEY and (sent := member.agent.decode_record(KEY, int)):
+        if key == KEY and (sent := member.participant.decode_record(KEY, int)):
             late.append((time.monotonic_ns() - sent) / 1e6)
 
     async def handle(request: http.Request, connection: Connection) -> ServerResponse:
@@ -52,7 +52,7 @@
         if path == "/healthz":
             return member.answer_health_check(query)
         if path == "/probe":
-            member.propose(member.agent.build_put(KEY, time.monotonic_ns()))
+            member.propose(member.participant.build_put(KEY, time.monotonic_ns()))
             return ServerResponse(204)
         if path == "/status":
             found: dict[str, Any] = member.status() | {"late": late, "cpu": time.process_time()}
--- a/gradehoist/governor/zone_coordination.py
+++ b/gradehoist/governor/zone_coordination.py
@@ -144,7 +144,7 @@
         if now_us < self._next_tick_us:
             return
         self._next_tick_us = now_us + TICK_INTERVAL_US
-        is_joined = self._membership.agent.is_joined
+        is_joined = self._membership.participant.is_joined
         if is_joined:
             self._coordinator.on_store_recovered(now_us)
         else:
@@ -166,7 +166,7 @@
 
     def _handle_change(self, key: str) -> None:
         """Takes a record of the store that has changed."""
-        agent = self._membership.agent
+        agent = self._membership.participant
         if key == PLAN_KEY:
             self._handle_plan(agent.decode_record(PLAN_KEY, EvacuationPlan))
         elif key == ALLOCATION_KEY:
@@ -230,7 +230,7 @@
             return
         self._reported = applied
         self._reported_us = now_us
-        agent = self._membership.agent
+        agent = self._membership.participant
         report = self._make_report(now_us)
         change = agent.build_put(REPORTS_PREFIX + agent.identity.name, report, owned_by_session=True)
         self._propose(_Write.REPORT, change)
@@ -251,7 +251,7 @@
 
     def _write_decisions(self, now_us: int, token: FencingToken) -> None:
         """As the leader, writes the next plan and the next allocation, if any are due."""
-        agent = self._membership.agent
+        agent = self._membership.participant
         if _Write.PLAN not in self._pending_writes:
             plan = self._coordinator.next_plan(now_us, token)
             if plan is not None:
@@ -289,4 +289,4 @@
         fallback_hold_us=settings.fallback_hold_us,
         fallback_ramp_us=settings.fallback_ramp_us,
     )
-    return ZoneCoordinator(membership.agent.identity.incarnation, config)
+    return ZoneCoordinator(membership.participant.identity.incarnation, config)
--- a/gradehoist/membership/service.py
+++ b/gradehoist/membership/service.py
@@ -88,7 +88,7 @@
         self.settings = settings
         # With one seed for all, processes started from the same settings would all retry at the same time.
         process_seed = zlib.crc32(f"{seed}:{identity.incarnation}".encode())
-        self.agent = Participant(identity, settings.session_ttl_us, process_seed)
+        self.participant = Participant(identity, settings.session_ttl_us, process_seed)
         self.members = FailureDetector(
             identity.member_key, settings.lost_after_us, settings.contact_interval_us, process_seed
         )
@@ -99,7 +99,7 @@
         self.failure_listeners: list[Callable[[], None]] = []
         self._log = log
         self._client = CoordinationClient(
-            self.agent, open_store(settings), self._on_notification, self._on_tick, recorder
+            self.participant, open_store(settings), self._on_notification, self._on_tick, recorder
         )
         self._checker = MemberHealthChecker(self._on_health_checked)
         self._running: asyncio.Task[None] | None = None
@@ -130,7 +130,7 @@
 
     def join_election(self, name: str, takeover_delay_us: int) -> LeaderElection:
         """Stand in the leader election `name`, taking over that long after a leader's record is gone."""
-        rank = zlib.crc32(f"{self.agent.identity.incarnation}:{name}".encode()) / 2**32
+        rank = zlib.crc32(f"{self.participant.identity.incarnation}:{name}".encode()) / 2**32
         election = LeaderElection(name, takeover_delay_us, rank)
         self.elections.append(election)
         return election
@@ -138,7 +138,7 @@
     def propose(self, *changes: Change) -> str:
         """Propose a commit and return its id, or log the rejection of an oversized record and return ""."""
         try:
-            commit_id = self.agent.propose(*changes)
+            commit_id = self.participant.propose(*changes)
         except RecordTooLargeError as fault:
             self._log("record_rejected", True, reason=str(fault))
             return ""
@@ -151,9 +151,9 @@
         for state in self._states.values():
             counts[state.value] = counts.get(state.value, 0) + 1
         return {
-            "joined": self.agent.is_joined,
-            "generation": self.agent.fencing_token.generation,
-            "revision": self.agent.cache.revision,
+            "joined": self.participant.is_joined,
+            "generation": self.participant.fencing_token.generation,
+            "revision": self.participant.cache.revision,
             "members": counts,
             "cut_off": self._is_isolated,
             "rights": {
@@ -165,7 +165,7 @@
 
     def answer_health_check(self, query: str) -> ServerResponse:
         """Answer 204 to a health check of this incarnation, and 410 to one of an earlier incarnation."""
-        incarnation = self.agent.identity.incarnation
+        incarnation = self.participant.identity.incarnation
         if query == f"run={incarnation}":
             return ServerResponse(204)
         return error_response(410, f"this is {incarnation}")
@@ -201,10 +201,10 @@
 
     def _on_key_changed(self, key: str) -> None:
         if key.startswith(MEMBERS_PREFIX):
-            self.members.update_member(monotonic_us(), key, self.agent.decode_record(key, MemberRecord))
+            self.members.update_member(monotonic_us(), key, self.participant.decode_record(key, MemberRecord))
         elif key.startswith(REACHABILITY_PREFIX):
             member_key = MEMBERS_PREFIX + key.removeprefix(REACHABILITY_PREFIX)
-            self.members.update_report(member_key, self.agent.decode_record(key, ReachabilityReport))
+            self.members.update_report(member_key, self.participant.decode_record(key, ReachabilityReport))
         for on_changed in self.key_listeners:
             on_changed(key)
 
@@ -224,11 +224,11 @@
 
     def _advance_election(self, now_us: int, election: LeaderElection) -> None:
         previous = election.fencing_token
-        election.advance(now_us, self.agent)
+        election.advance(now_us, self.participant)
         current = election.fencing_token
         if current == previous:
             return
-        token = current or previous or self.agent.fencing_token
+        token = current or previous or self.participant.fencing_token
         self._log(
             "leadership_lost" if current is None else "leadership_acquired",
             current is None,
@@ -238,11 +238,11 @@
 
     def _publish_reachability(self, report: ReachabilityReport) -> None:
         """Write which members this process can't reach, if that has changed."""
-        if report == self._written_report or self._report_commit_id or not self.agent.is_joined:
+        if report == self._written_report or self._report_commit_id or not self.participant.is_joined:
             return
-        key = REACHABILITY_PREFIX + self.agent.identity.member_key.removeprefix(MEMBERS_PREFIX)
+        key = REACHABILITY_PREFIX + self.participant.identity.member_key.removeprefix(MEMBERS_PREFIX)
         self._proposed_report = report
-        self._report_commit_id = self.propose(self.agent.build_put(key, report, owned_by_session=True))
+        self._report_commit_id = self.propose(self.participant.build_put(key, report, owned_by_session=True))
 
     def _assess_members(self, statuses: Mapping[str, MemberStatus]) -> None:
         for key, status in statuses.items():
--- a/tests/support/fleet_process.py
+++ b/tests/support/fleet_process.py
@@ -194,16 +194,16 @@
         return self.membership.status() | {
             "counter": self.counter(),
             "effects": self.effect_count,
-            "idle": not self.membership.agent.has_pending_commits,
+            "idle": not self.membership.participant.has_pending_commits,
         }
 
     def counter(self) -> int:
-        found: int | None = self.membership.agent.decode_record(COUNTER_KEY, int)
+        found: int | None = self.membership.participant.decode_record(COUNTER_KEY, int)
         return found or 0
 
     async def request_effects(self) -> None:
         client = HttpClient(LOCAL, self.spec.ledger_port)
-        agent = self.membership.agent
+        agent = self.membership.participant
         while True:
             await asyncio.sleep(self.spec.effect_interval_s)
             token = self.election.fencing_token
@@ -220,7 +220,7 @@
             resource=ELECTION,
             generation=token.generation,
             holder=token.holder,
-            item=f"{self.membership.agent.identity.incarnation}:{self.effect_count}",
+            item=f"{self.membership.participant.identity.incarnation}:{self.effect_count}",
         )
         if self.spec.effect_delay_s:
             await asyncio.sleep(self.spec.effect_delay_s)
@@ -228,7 +228,7 @@
             answer = await client.request("POST", "/effect", msgspec.json.encode(wanted), timeout_s=2.0)
             response: EffectResponse = msgspec.json.decode(answer.body, type=EffectResponse)
             if response.known is not None:
-                self.election.on_token_rejected(self.membership.agent, response.known)
+                self.election.on_token_rejected(self.membership.participant, response.known)
 
     async def run(self, stop: asyncio.Event) -> None:
         server = HttpServer(self.handle)
