--- a/tests/support/simulated_store.py
+++ b/tests/support/simulated_store.py
@@ -71,14 +71,14 @@
         self,
         random_numbers: random.Random,
         wake_watch: Callable[[Callable[[], None]], None],
-        without: Guard | None = None,
+        disabled_guard: Guard | None = None,
     ) -> None:
         self.keyspace = Keyspace()
         self.faults = Faults()
         self.connection_epoch = 0  # responses do not cross a restore
         self._random = random_numbers
         self._wake_watch = wake_watch
-        self._without = without
+        self._disabled_guard = disabled_guard
         self._waiting_watches: list[Callable[[], None]] = []
 
     def perform(
@@ -94,7 +94,7 @@
                 return str(self.keyspace.grant_lease(now_us, ttl_us))
             case RenewSession(session_id):
                 lives = self.keyspace.renew_lease(now_us, int(session_id))
-                if lives or self._without is Guard.SESSIONS_STAY_ENDED:
+                if lives or self._disabled_guard is Guard.SESSIONS_STAY_ENDED:
                     return self.keyspace.revision
                 return SessionEndedError("ended")
             case EndSession(session_id):
@@ -133,7 +133,7 @@
 
     def _read(self, prefix: str) -> StoreSnapshot:
         at_revision = 0
-        stale_share = 0.5 if self._without is Guard.CURRENT_READS else self.faults.stale_reads
+        stale_share = 0.5 if self._disabled_guard is Guard.CURRENT_READS else self.faults.stale_reads
         if self._random.random() < stale_share:
             older = self.keyspace.revision - self._random.randrange(1, 4)
             at_revision = max(self.keyspace.compacted_revision, older, 1)
@@ -149,7 +149,7 @@
             self.keyspace.find_mod_revision(change.key.encode()) != change.expected_version
             for change in changes
         )
-        if has_conflict and self._without is not Guard.VERSION_AT_COMMIT:
+        if has_conflict and self._disabled_guard is not Guard.VERSION_AT_COMMIT:
             found = [entry for change in changes for entry in self.keyspace.read_range(change.key.encode())]
             return CommitRejected(self.keyspace.revision, tuple(_to_record(entry) for entry in found))
         if self.faults.is_full:
--- a/tests/support/store_simulation.py
+++ b/tests/support/store_simulation.py
@@ -72,16 +72,16 @@
 
 
 class StoreSimulation:
-    """Plays processes and their store; `without` takes one guard out, to see that a checker catches it."""
+    """Plays processes and their store; `disabled_guard` is left out, to see that a checker catches it."""
 
-    def __init__(self, seed: int, process_count: int = 3, without: Guard | None = None) -> None:
+    def __init__(self, seed: int, process_count: int = 3, disabled_guard: Guard | None = None) -> None:
         self.now_us = 0
         self.random = random.Random(seed)
-        self.store = SimulatedStore(self.random, lambda retry: self.schedule(1, retry), without)
+        self.store = SimulatedStore(self.random, lambda retry: self.schedule(1, retry), disabled_guard)
         self.entries: list[HistoryEntry] = []
         self.fence = Fence()
         self.request_counts: Counter[type[Operation]] = Counter()
-        self._without = without
+        self._disabled_guard = disabled_guard
         self._actions: list[tuple[int, int, Callable[[], None]]] = []
         self._scheduled_count = 0
         self._item_count = 0
@@ -219,10 +219,10 @@
         )
 
     def _admits_unfenced(self, process: SimulatedProcess) -> bool:
-        if self._without is Guard.TOKEN_AT_EFFECT:
+        if self._disabled_guard is Guard.TOKEN_AT_EFFECT:
             return True
         # Whoever trusts a session asks whether it lives, and believes its holder.
-        return self._without is Guard.SESSIONS_STAY_ENDED and process.participant.session_id != ""
+        return self._disabled_guard is Guard.SESSIONS_STAY_ENDED and process.participant.session_id != ""
 
     # Requests and responses
 
--- a/tests/test_checker_detection.py
+++ b/tests/test_checker_detection.py
@@ -55,7 +55,7 @@
 
     def run(self, seed: int, without: Guard | None) -> list[HistoryEntry]:
         """The history of one run."""
-        simulation = StoreSimulation(seed, self.process_count, without=without)
+        simulation = StoreSimulation(seed, self.process_count, disabled_guard=without)
         simulation.store.faults = Faults(broken_watches=self.broken_watches)
         simulation.run_for(10)
         next_pause_us = simulation.now_us + self.pause_every_us
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -92,8 +92,8 @@
 def test_paused_leader_acts_beside_its_successor_only_without_the_fence() -> None:
     """A lease trusted: the first leader looks, is paused for 30 s, and goes on in the middle of its step."""
     violations = {}
-    for without in (None, Guard.TOKEN_AT_EFFECT):
-        simulation = StoreSimulation(1, process_count=2, without=without)
+    for disabled_guard in (None, Guard.TOKEN_AT_EFFECT):
+        simulation = StoreSimulation(1, process_count=2, disabled_guard=disabled_guard)
         simulation.run_for(10)
         (first,) = simulation.leaders
         simulation.act_as_leader(first, duration_us=SECOND_US)
@@ -107,7 +107,7 @@
         simulation.resume(first)
         simulation.run_for(20)
 
-        violations[without] = find_fencing_violations(simulation.entries)
+        violations[disabled_guard] = find_fencing_violations(simulation.entries)
         assert first.token is None
         assert first.participant.is_joined
         assert first.notified(SessionEnded)
