--- a/gradehoist/zones/__init__.py
+++ b/gradehoist/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Evacuation and recovery of zones by all governors together: health, plan, and quotas for warm-up."""
+"""Evacuation and recovery of zones, which all governors coordinate: zone health, plan and warm-up quotas."""
--- a/gradehoist/zones/capacity.py
+++ b/gradehoist/zones/capacity.py
@@ -1,4 +1,4 @@
-"""Estimates of what each zone can serve, learnt from the health reports. Free of I/O."""
+"""Estimates of each zone's capacity, computed from the health reports. Free of I/O."""
 
 from __future__ import annotations
 
@@ -8,21 +8,27 @@
 from gradehoist.zones.evacuation import ZoneLoad
 from gradehoist.zones.health import HealthReport
 
-# Busy share below which traffic over busy share says nothing of what replicas can do.
+# The capacity estimate is the traffic divided by the busy share. Below this busy share the quotient is too
+# imprecise to be used.
 MIN_BUSY_SHARE = 0.1
-# Weight of the newest estimate: it follows within some seconds of a healthy zone.
+# Weight of the newest estimate in the moving average, which so follows a change within some seconds.
 CAPACITY_SMOOTHING = 0.2
 
 
 class CapacityEstimator:
-    """Smoothed capacity of each zone, in requests per second."""
+    """Estimates the capacity of each zone as a moving average.
+
+    Attributes:
+        capacity_per_s: Requests per second that a zone can serve, by zone. Zones without an estimate are
+            missing.
+    """
 
     def __init__(self) -> None:
-        """Create an estimator that knows no zone."""
+        """Create an estimator without estimates."""
         self.capacity_per_s = dict[str, float]()
 
-    def learn(self, zone: str, reports: Mapping[str, HealthReport]) -> None:
-        """Update the estimate of a healthy zone from the reports that observed it."""
+    def update(self, zone: str, reports: Mapping[str, HealthReport]) -> None:
+        """Update the estimate of a healthy zone from the reports that contain observations of it."""
         observed = [
             (report.observations[zone], report.window_us)
             for report in reports.values()
@@ -42,7 +48,7 @@
     def zone_loads(
         self, reports: Mapping[str, HealthReport], classes: Collection[str]
     ) -> dict[str, ZoneLoad]:
-        """Traffic and capacity of each zone whose capacity is known."""
+        """Return the traffic and the capacity of each zone that has an estimate."""
         traffic = {zone: dict.fromkeys(classes, 0.0) for zone in self.capacity_per_s}
         for report in reports.values():
             for zone, offered in report.offered_by_zone.items():
--- a/gradehoist/zones/coordinator.py
+++ b/gradehoist/zones/coordinator.py
@@ -1,9 +1,10 @@
 """One governor's part in the evacuation and recovery of zones. Free of I/O.
 
-The coordinator keeps the health reports of all governors, follows the plan and the quota allocation of the
-coordination store, and says which quotas are in force for this governor. While this governor leads the
-election `zones` the coordinator also makes the next step and the next allocation. Without the coordination
-store the agreed limits are held for a time and then relaxed by an even ramp (`coordination/fallback.py`).
+The coordinator keeps the health reports of all governors, follows the evacuation plan and the quota
+allocation in the coordination store, and computes the quotas in force for this governor. While this governor
+is the leader of the election `zones`, the coordinator also computes the next step of the plan and the next
+allocation. While the coordination store is unavailable, the agreed limits are held for a time and then
+relaxed along a linear ramp (`coordination/fallback.py`).
 """
 
 from __future__ import annotations
@@ -23,24 +24,27 @@
 ALLOCATION_KEY = "zones/deal"
 REPORTS_PREFIX = "zones/views/"
 
-# Limits of classes stand beside those of zones in the agreed limits, under this prefix.
+# The agreed limits hold those of zones and of request classes in one mapping. The names of classes get this
+# prefix.
 CLASS_PREFIX = "class/"
-# Quotas reach the policy as multiples of one fiftieth: a ramp would otherwise be an event in every round.
+# Quotas are passed to the policy as multiples of one fiftieth. With exact values, a ramp would change the
+# policy's input at every tick.
 QUOTA_STEPS = 50
-# Share of an evacuated zone's traffic that still goes there, so that its recovery is seen.
+# Share of an evacuated zone's traffic that is still sent there, so that its recovery can be observed.
 EXPLORATORY_SHARE = 0.02
-# Factor by which traffic may exceed the allocated quota: a new allocation follows within some seconds.
+# Factor by which a governor's share of the traffic may exceed its allocated quota before its warm-up is
+# limited. A new allocation follows the traffic within some seconds.
 TRAFFIC_SWING = 1.15
 
 
 @dataclass(frozen=True)
 class ZoneQuotas:
-    """The limits in force for this governor; 1.0 applies to what is not listed.
+    """The limits in force for this governor. Zones and classes that are not listed have the limit 1.0.
 
     Attributes:
-        zone_quotas: Share of a zone's traffic that may go there.
-        warmup_quota: Factor on the weight of replicas that are warming up.
-        admission_limits: Admitted share by request class.
+        zone_quotas: Share of a zone's own traffic that may be sent there, by zone.
+        warmup_quota: Factor by which the weights of replicas that are warming up are multiplied.
+        admission_limits: Share of requests that may be admitted, by request class.
     """
 
     zone_quotas: Mapping[str, float]
@@ -54,12 +58,12 @@
 
     Attributes:
         classes: Constraints by request class.
-        timing: Waiting times between steps.
-        drain_timeout_us: How long after a session's end the tables of its process may still be used.
-        report_ttl_us: A health report that was not renewed for so long does not count.
-        list_ttl_us: An endpoint list that was not confirmed for so long is lost.
-        fallback_hold_us: How long agreed limits stand without the coordination store.
-        fallback_ramp_us: How long relaxing them takes after that.
+        timing: Waiting times between steps of a plan.
+        drain_timeout_us: How long after the end of a governor's session proxies may still use its tables.
+        report_ttl_us: Age from which a health report is ignored.
+        list_ttl_us: Time without confirmation after which an endpoint list counts as lost.
+        fallback_hold_us: How long the agreed limits are held while the coordination store is unavailable.
+        fallback_ramp_us: How long it takes after that to relax a limit from 0 to 1.
     """
 
     classes: Mapping[str, ClassConstraints]
@@ -72,17 +76,17 @@
 
 
 class ZoneCoordinator:
-    """The zones' state as one governor knows it; owned by the governor's zone coordination.
+    """The state of all zones as one governor knows it. The governor's zone coordination owns it.
 
     Attributes:
-        incarnation: This process.
+        incarnation: The incarnation of this process.
         plan: The evacuation plan in force.
         allocation: The quota allocation in force.
         health: The last assessment, or None before the first.
     """
 
     def __init__(self, incarnation: str, config: CoordinatorConfig) -> None:
-        """Create a coordinator that knows no report, plan or allocation."""
+        """Create a coordinator without reports, plan or allocation."""
         self.incarnation = incarnation
         self.plan = EvacuationPlan(0, "")
         self.allocation = QuotaAllocation(0, "")
@@ -93,25 +97,27 @@
         self._capacity = CapacityEstimator()
         self._healthy_since_us = dict[str, int]()
         self._last_step_us = 0
-        self._departed_us = dict[str, int]()  # when an incarnation was last seen
+        self._departed_at_us = dict[str, int]()  # when an incarnation's session was seen to have ended
 
-    # What the coordination store delivers
+    # Updates from the coordination store
 
     def on_report(self, now_us: int, observer: str, report: HealthReport | None) -> None:
-        """Take an observer's health report; None where its session ended."""
+        """Store an observer's health report; None means that the observer's session ended."""
         previous = self._assessor.reports.get(observer)
         if previous is not None:
             incarnation = previous.report.incarnation
             if report is None or report.incarnation != incarnation:
-                self._departed_us[incarnation] = now_us  # its tables may be used for a while
+                # Proxies may use the tables of that incarnation until the drain timeout has passed.
+                self._departed_at_us[incarnation] = now_us
         self._assessor.record_report(now_us, observer, report)
         if report is not None:
-            self._departed_us.pop(report.incarnation, None)
+            self._departed_at_us.pop(report.incarnation, None)
 
     def on_plan(self, now_us: int, plan: EvacuationPlan | None) -> bool:
-        """Follow a plan; return False for one of a leader that a newer leader has replaced.
+        """Adopt a plan. Return False if the plan is that of a leader that a newer leader has replaced.
 
-        None is no plan, as after the loss of the store's records: what was agreed stands.
+        A plan of None means that the store has none, for example because its records were lost. The limits
+        that were agreed then stay in force.
         """
         if plan is None:
             return True
@@ -129,22 +135,22 @@
         return True
 
     def on_allocation(self, allocation: QuotaAllocation | None) -> None:
-        """Follow an allocation unless it is older than the one in force."""
+        """Adopt an allocation unless it is older than the one in force."""
         if allocation is not None and allocation.generation >= self.allocation.generation:
             self.allocation = allocation
 
     def on_store_lost(self, now_us: int) -> None:
-        """Begin to hold the agreed limits without the coordination store."""
+        """Start the time for which the agreed limits are held without the coordination store."""
         self._fallback.on_store_lost(now_us)
 
     def on_store_recovered(self, now_us: int) -> None:
         """Return to the agreed limits."""
         self._fallback.on_store_recovered(now_us)
 
-    # What is in force
+    # Quotas in force
 
     def current_quotas(self, now_us: int, requests_per_s: float) -> ZoneQuotas:
-        """The quotas for this governor, which routes `requests_per_s` itself."""
+        """Return the quotas for this governor, whose own proxies route `requests_per_s`."""
         zone_quotas = dict[str, float]()
         admission_limits = dict[str, float]()
         for name, exact_limit in self._fallback.limits_at(now_us).items():
@@ -162,13 +168,14 @@
         )
 
     def _warmup_quota(self, now_us: int, requests_per_s: float) -> float:
-        """This governor's allocated share against its share of the traffic.
+        """Return the ratio of this governor's allocated quota to its share of the traffic, 1.0 at most.
 
-        A governor that took over the proxies of a dead one so gives replicas no more than before until it is
-        allocated more.
+        When a governor takes over the proxies of one that died, its share of the traffic grows. The ratio
+        keeps it from sending more to the replicas that warm up until it has been allocated a larger quota.
         """
         if self._fallback.is_store_lost or not self.allocation.quotas:
-            return 1.0  # nothing is agreed: each governor limits warm-up alone, as without a store
+            # Without an agreement each governor limits warm-up by itself, as it does without a store.
+            return 1.0
         others = sum(
             report.requests_per_s
             for report in self._assessor.fresh_reports(now_us).values()
@@ -180,10 +187,10 @@
             return 1.0
         return round(QUOTA_STEPS * quota / traffic_share) / QUOTA_STEPS
 
-    # What the leader decides
+    # Decisions of the leader
 
     def assess_health(self, now_us: int) -> FleetHealth:
-        """Assess all zones, and remember since when each is healthy and what it can serve."""
+        """Assess all zones, and update since when each zone has been healthy and its capacity."""
         self.health = self._assessor.assess(now_us)
         reports = self._assessor.fresh_reports(now_us)
         for zone, state in self.health.zones.items():
@@ -191,28 +198,32 @@
                 self._healthy_since_us.setdefault(zone, now_us)
             else:
                 self._healthy_since_us.pop(zone, None)
-            if state is ZoneState.HEALTHY and self._shows_capacity(zone):
-                self._capacity.learn(zone, reports)
+            if state is ZoneState.HEALTHY and self._is_capacity_observable(zone):
+                self._capacity.update(zone, reports)
         return self.health
 
-    def _shows_capacity(self, zone: str) -> bool:
-        """Whether the zone's traffic says what it can serve: that of an evacuated zone does not."""
+    def _is_capacity_observable(self, zone: str) -> bool:
+        """Whether the capacity can be estimated from the zone's traffic.
+
+        An evacuated zone gets too little traffic for that, so an estimate that exists is kept.
+        """
         return self.plan.traffic_share(zone) >= 1.0 or zone not in self._capacity.capacity_per_s
 
     def zone_loads(self, now_us: int) -> dict[str, ZoneLoad]:
-        """What the fleet knows of each zone whose capacity has been seen."""
+        """Return the traffic and the capacity of each zone whose capacity is known."""
         return self._capacity.zone_loads(self._assessor.fresh_reports(now_us), self._config.classes)
 
     def next_plan(self, now_us: int, token: FencingToken) -> EvacuationPlan | None:
-        """The plan to write under this leader's token, or None.
+        """Return the plan to write under this leader's token, or None if nothing is to be written.
 
-        A new leader first puts its own generation on the plan as it stands, so that the store rejects a step
-        of the leader before that is still on its way.
+        A new leader first writes the current plan unchanged under its own generation. The store then rejects
+        a step of the previous leader that is still in flight.
         """
         health = self.health or self.assess_health(now_us)
         order = compare_tokens(token, FencingToken(self.plan.generation, self.plan.leader))
         if order in (TokenOrder.OLDER, TokenOrder.CONFLICTING):
-            return None  # another leads, and this process has yet to hear of it
+            # Another process is the leader, and this process has not been notified of that yet.
+            return None
         if order is TokenOrder.NEWER:
             return EvacuationPlan(
                 generation=token.generation,
@@ -235,16 +246,16 @@
         return next_plan(self.plan, conditions, self._config.timing)
 
     def next_allocation(self, now_us: int, token: FencingToken) -> QuotaAllocation | None:
-        """The allocation to write under this leader's token, or None."""
+        """Return the allocation to write under this leader's token, or None if nothing is to be written."""
         reports = [r for r in self._assessor.fresh_reports(now_us).values() if r.requests_per_s > 0]
         departed = {
             incarnation
-            for incarnation, since_us in self._departed_us.items()
+            for incarnation, since_us in self._departed_at_us.items()
             if now_us - since_us >= self._config.drain_timeout_us
         }
         if not reports:
             return None
-        self._note_unknown_members(now_us, {report.incarnation for report in reports})
+        self._mark_unknown_members_departed(now_us, {report.incarnation for report in reports})
         return next_allocation(
             self.allocation,
             token.holder,
@@ -253,7 +264,7 @@
             departed,
         )
 
-    def _note_unknown_members(self, now_us: int, present: set[str]) -> None:
-        """Count members that left before this process could see them as departing from now on."""
+    def _mark_unknown_members_departed(self, now_us: int, present: set[str]) -> None:
+        """Set now as the time of departure of members that left before this process saw a report of them."""
         for incarnation in self.allocation.upper_bounds.keys() - present:
-            self._departed_us.setdefault(incarnation, now_us)
+            self._departed_at_us.setdefault(incarnation, now_us)
