--- a/gradehoist/zones/evacuation.py
+++ b/gradehoist/zones/evacuation.py
@@ -1,8 +1,8 @@
-"""Records of an evacuation: the plan of all zones, and what is known of zones and classes. Free of I/O.
+"""Data types of zone evacuation: the plan of all zones, and the load and constraints behind it. Free of I/O.
 
-One record of the coordination store holds the plan: the share of each zone's traffic that may still go there,
-and one admission limit per class for the fleet where the other zones can't carry everything. How the plan
-changes is in `evacuation_steps`.
+One record of the coordination store holds the plan. It contains the share of each zone's traffic that may
+still be sent there. If the other zones can't serve all traffic, it also contains admission limits by request
+class, which apply to the whole fleet. `evacuation_steps` computes how the plan changes.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     """How far one zone is evacuated.
 
     Attributes:
-        traffic_share: Share (0 to 1) of its traffic that may still go there.
-        reason: Why it was evacuated.
+        traffic_share: Share (0 to 1) of the zone's traffic that may still be sent there.
+        reason: Why the zone was evacuated.
         is_recovering: Whether the last step raised the share.
-        relapses: How often it failed after a step of recovery.
-        required_healthy_us: How long it has to be healthy before the next step of recovery.
+        relapses: How often the zone became unhealthy again during or after its recovery.
+        required_healthy_us: How long the zone has to be healthy before the next step of its recovery.
     """
 
     traffic_share: float = msgspec.field(default=1.0, name="to")
@@ -41,10 +41,11 @@
 
     Attributes:
         generation: Generation of the leader's fencing token.
-        leader: Incarnation of the process that made it.
-        step: Counts the steps within a generation.
-        zones: Zones that are not simply in service.
-        admission_limits: Admitted share by class; classes that are not listed are admitted whole.
+        leader: Incarnation of the leader that wrote the plan.
+        step: Number of steps taken under this generation.
+        zones: Zones that are evacuated, are recovering, or whose relapses still count.
+        admission_limits: Share of requests that may be admitted, by request class. Classes that are not
+            listed are not limited.
     """
 
     generation: int = msgspec.field(name="gen")
@@ -55,22 +56,22 @@
 
     @property
     def version(self) -> PlanVersion:
-        """The version that governors confirm."""
+        """The version that governors confirm once they apply the plan."""
         return PlanVersion(self.generation, self.step)
 
     def traffic_share(self, zone: str) -> float:
-        """Share of a zone's traffic that may go there."""
+        """Return the share of a zone's traffic that may be sent there."""
         return self.zones.get(zone, IN_SERVICE).traffic_share
 
 
 @dataclass(frozen=True)
 class ZoneLoad:
-    """Traffic and capacity of one zone, as far as the fleet knows them.
+    """Traffic and capacity of one zone, estimated from the health reports.
 
     Attributes:
-        requests_per_s_by_class: Traffic that would go there with all zones in service.
-        capacity_per_s: Requests per second that its warm replicas can serve.
-        sustainable_share: Share of its own traffic that it can serve while its replicas warm up.
+        requests_per_s_by_class: Requests per second that the zone would get if all zones were in service.
+        capacity_per_s: Requests per second that the zone's warm replicas can serve.
+        sustainable_share: Share of its own traffic that the zone can serve while its replicas warm up.
     """
 
     requests_per_s_by_class: Mapping[str, float]
@@ -79,7 +80,7 @@
 
     @property
     def requests_per_s(self) -> float:
-        """Traffic of all classes."""
+        """The traffic of all request classes together."""
         return sum(self.requests_per_s_by_class.values())
 
 
@@ -88,7 +89,7 @@
     """Priority of a request class, and the zones that may serve it.
 
     Attributes:
-        priority_weight: The class with the least weight is shed first.
+        priority_weight: The class with the lowest weight is shed first.
         allowed_zones: Zones that may serve it; None means any.
         zone_local: Whether only the zone of the proxy may serve it.
     """
@@ -98,18 +99,19 @@
     zone_local: bool = False
 
     def can_move_to(self, zones: frozenset[str]) -> bool:
-        """Whether one of these zones may serve traffic of the class that leaves its own zone."""
+        """Whether any of these zones may serve the class's traffic from another zone."""
         return not self.zone_local and (self.allowed_zones is None or bool(self.allowed_zones & zones))
 
 
 @dataclass(frozen=True)
 class EvacuationTiming:
-    """Waiting times between steps.
+    """Waiting times between steps of a plan.
 
     Attributes:
-        settle_us: From one step to the next.
-        min_healthy_us: How long a zone is healthy before its first step of recovery; doubled by each relapse.
-        max_healthy_us: Bound of that doubling; after so long healthy in service, relapses are forgotten.
+        settle_us: Minimum time from one step to the next.
+        min_healthy_us: How long a zone has to be healthy before its first recovery. Each relapse doubles it.
+        max_healthy_us: Upper bound of that doubled time. The relapses of a zone in service no longer count
+            once it has been healthy for this time.
     """
 
     settle_us: int
--- a/gradehoist/zones/evacuation_steps.py
+++ b/gradehoist/zones/evacuation_steps.py
@@ -1,9 +1,10 @@
-"""Steps of an evacuation that the other zones can carry, and of the recovery after it. Free of I/O.
+"""Computes the steps of an evacuation and of the recovery after it. Free of I/O.
 
-The next step is made only when every governor with traffic has confirmed the last one, or has left, and when
-its effect has had time to show in load reports. The size of a step is what the remaining zones can carry. The
-last zone is never evacuated, nor one without which the rest could not carry half of the traffic. A relapse
-during recovery halves the share, and the next recovery waits twice as long.
+The next step is taken only when every governor with traffic has confirmed the last one or has left, and when
+the effect of the last step has had time to appear in the load reports. A step is limited to the traffic that
+the other zones have capacity for. The last zone is never evacuated, nor is a zone without which the other
+zones could not serve half of the traffic. A relapse during recovery halves the zone's traffic share, and
+doubles the wait before the next recovery.
 """
 
 from __future__ import annotations
@@ -23,29 +24,32 @@
 )
 from gradehoist.zones.health import FleetFault, FleetHealth, PlanVersion, ZoneState
 
-# Utilization of a zone's warm replicas that a step may bring about: beyond it queues exceed the objectives.
+# Utilization of a zone's warm replicas that a step may lead to. At a higher one, queueing exceeds the latency
+# objectives.
 MAX_UTILIZATION = 0.85
-# Share of the available capacity used by one step: capacities are estimates, and the next step follows soon.
+# Share of the other zones' spare capacity that one step uses. Capacities are only estimates, and the next
+# step follows soon.
 HEADROOM_SHARE_PER_STEP = 0.5
-# Smaller steps are not worth a message to every proxy.
+# Smallest step. A smaller one would not justify a message to every proxy.
 MIN_STEP = 0.05
-# Share of all traffic that the remaining zones must carry, or the zone is not evacuated at all.
-MIN_CARRIED_SHARE = 0.5
-# Largest step of a recovery, so that a warm zone is back in four.
+# Share of all traffic that the other zones must be able to serve. Otherwise the zone is not evacuated at all.
+MIN_SERVED_SHARE = 0.5
+# Largest step of a recovery. A zone whose replicas are warm is fully in service after four steps.
 MAX_RECOVERY_STEP = 0.25
-# Admission limits are multiples of one twentieth: finer ones would follow the noise of traffic.
+# Admission limits are multiples of one twentieth. Finer ones would change with every fluctuation of the
+# traffic.
 ADMISSION_STEPS = 20
 
 
 @dataclass(frozen=True)
 class FleetConditions:
-    """What a step is decided on.
+    """The input from which a step is computed.
 
     Attributes:
         health: The assessment of all zones.
-        loads: Traffic and capacity by zone; zones without known capacity are missing.
+        loads: Traffic and capacity by zone. Zones whose capacity is unknown are missing.
         classes: Constraints by request class.
-        healthy_for_us: For how long nobody has seen a zone otherwise than healthy.
+        healthy_for_us: How long each zone has been assessed as healthy, or was not observed, without a break.
         since_last_step_us: Time since the last step.
     """
 
@@ -59,14 +63,18 @@
 def is_step_confirmed(
     plan: EvacuationPlan, confirmed: Mapping[str, PlanVersion], observers: frozenset[str]
 ) -> bool:
-    """Whether the tables of all these observers follow the plan's last step."""
+    """Whether all these observers have confirmed that their tables follow the plan's last step."""
     return all(confirmed.get(observer) == plan.version for observer in observers)
 
 
 def compute_admission_limits(
     requests_per_s: Mapping[str, float], classes: Mapping[str, ClassConstraints], capacity_per_s: float
 ) -> dict[str, float]:
-    """The admitted share of each class that exceeds the capacity; the least priority weight is shed first."""
+    """Return the share of requests to admit for each class that can't be admitted in full.
+
+    Capacity is given to the classes in the order of their priority weight, so that the lowest one is shed
+    first.
+    """
     limits = dict[str, float]()
     available = capacity_per_s
     for name in sorted(requests_per_s, key=lambda c: (-classes[c].priority_weight, c)):
@@ -80,12 +88,13 @@
 def next_plan(
     plan: EvacuationPlan, conditions: FleetConditions, timing: EvacuationTiming
 ) -> EvacuationPlan | None:
-    """The plan with the next step, or None where nothing changes.
+    """Return the plan with the next step, or None if the plan does not change.
 
-    To be called once `is_step_confirmed` says that the last step is in force.
+    The caller makes sure with `is_step_confirmed` that the last step is in force.
     """
     if conditions.health.fault is FleetFault.MOST_ZONES_FAILING:
-        return None  # the observers are at fault, or what all zones share: there is no zone to leave
+        # Either the observers are at fault, or something that all zones share. Moving traffic would not help.
+        return None
     planner = _StepPlanner(plan, conditions, timing)
     for zone in sorted(conditions.loads):
         planner.plan_zone(zone)
@@ -99,7 +108,11 @@
 def projected_requests_per_s(
     zone: str, evacuations: Mapping[str, ZoneEvacuation], loads: Mapping[str, ZoneLoad]
 ) -> float:
-    """Traffic of a zone under these evacuations: its own, and its part of what the others send away."""
+    """Return the traffic of a zone under these evacuations.
+
+    It consists of the zone's own traffic that stays there and of its part of the traffic that leaves other
+    zones, which is distributed in proportion to capacity times traffic share.
+    """
     moved = sum(load.requests_per_s * (1 - evacuations[z].traffic_share) for z, load in loads.items())
     capacity = sum(load.capacity_per_s * evacuations[z].traffic_share for z, load in loads.items())
     share = evacuations[zone].traffic_share
@@ -109,7 +122,7 @@
 
 
 class _StepPlanner:
-    """Plans the next step of each zone in turn; later zones see the steps of earlier ones."""
+    """Plans the next step of one zone after the other, each based on the steps planned before it."""
 
     def __init__(self, plan: EvacuationPlan, conditions: FleetConditions, timing: EvacuationTiming) -> None:
         self._plan = plan
@@ -119,12 +132,12 @@
         self._evacuations = {zone: plan.zones.get(zone, IN_SERVICE) for zone in conditions.loads}
 
     def plan_zone(self, zone: str) -> None:
-        """Take a step for one zone if its state calls for one."""
+        """Plan a step for one zone if its state requires one."""
         state = self._conditions.health.zones.get(zone, ZoneState.UNOBSERVED)
         current = self._evacuations[zone]
         is_failing = state in (ZoneState.FAILING, ZoneState.PARTITIONED)
         if (is_failing or state is ZoneState.SLOW) and current.is_recovering:
-            self._evacuations[zone] = self._halve(current, state)
+            self._evacuations[zone] = self._relapse(current, state)
         elif self._conditions.since_last_step_us < self._timing.settle_us and self._plan.step:
             return
         elif is_failing:
@@ -133,14 +146,14 @@
             self._evacuations[zone] = self._recover(zone)
 
     def evacuated_zones(self) -> dict[str, ZoneEvacuation]:
-        """The zones of the next plan."""
-        # A new leader knows nothing yet of some zones: what the plan says of those stays, or it would put
-        # them all back in service.
+        """Return the zones of the next plan."""
+        # A new leader does not know the load of some zones yet. It keeps what the plan holds for those.
+        # Without this, it would put all of them back in service.
         planned = self._plan.zones | self._evacuations
         return {zone: evacuation for zone, evacuation in planned.items() if evacuation != IN_SERVICE}
 
     def admission_limits(self) -> dict[str, float]:
-        """The fleet's limits where the zones that are not evacuated can't carry everything."""
+        """Return the admission limits for traffic that exceeds the capacity of the zones in service."""
         if all(evacuation.traffic_share >= 1.0 for evacuation in self._evacuations.values()):
             return {}
         demand = dict[str, float]()
@@ -154,12 +167,12 @@
         return self._loads[zone].capacity_per_s * MAX_UTILIZATION * self._evacuations[zone].traffic_share
 
     def _evacuate(self, zone: str, state: ZoneState) -> ZoneEvacuation:
-        """A step out of a zone, or what stands where the others can't do without it."""
+        """Return the zone after a step of evacuation, or unchanged if the other zones can't replace it."""
         current = self._evacuations[zone]
         others = frozenset(z for z in self._loads if z != zone and self._evacuations[z].traffic_share > 0)
         capacity = sum(self._usable_capacity(z) for z in others)
         total = sum(load.requests_per_s for load in self._loads.values())
-        if current.traffic_share <= 0 or not others or capacity < MIN_CARRIED_SHARE * total:
+        if current.traffic_share <= 0 or not others or capacity < MIN_SERVED_SHARE * total:
             return current
         is_relapse = current.traffic_share >= 1.0 and current.required_healthy_us > 0
         if is_relapse:
@@ -167,7 +180,7 @@
         else:
             required_healthy_us = current.required_healthy_us or self._timing.min_healthy_us
         return ZoneEvacuation(
-            traffic_share=_drop_remainder(current.traffic_share - self._evacuation_step(zone, others)),
+            traffic_share=_drop_below_min_step(current.traffic_share - self._evacuation_step(zone, others)),
             reason=state.value,
             is_recovering=False,
             relapses=current.relapses + is_relapse,
@@ -175,7 +188,7 @@
         )
 
     def _evacuation_step(self, zone: str, others: frozenset[str]) -> float:
-        """Share of the zone's traffic that the others can take now."""
+        """Return the share of the zone's traffic that is moved to the other zones by one step."""
         classes = self._conditions.classes
         movable = sum(
             requests_per_s
@@ -188,14 +201,15 @@
             max(0.0, self._usable_capacity(z) - projected_requests_per_s(z, self._evacuations, self._loads))
             for z in others
         )
-        # Without capacity elsewhere the admission limits make room: a failing zone serves nobody.
+        # If the other zones have no spare capacity, the smallest step is taken all the same, as a failing
+        # zone serves nothing. The admission limits then keep the other zones within their capacity.
         return max(MIN_STEP, HEADROOM_SHARE_PER_STEP * available / movable)
 
-    def _halve(self, current: ZoneEvacuation, state: ZoneState) -> ZoneEvacuation:
-        """A relapse: half of the share, and twice the wait before the next recovery."""
+    def _relapse(self, current: ZoneEvacuation, state: ZoneState) -> ZoneEvacuation:
+        """Return the zone after a relapse: half its share, and twice the wait before the next recovery."""
         wait_us = 2 * max(current.required_healthy_us, self._timing.min_healthy_us)
         return ZoneEvacuation(
-            traffic_share=_drop_remainder(current.traffic_share / 2),
+            traffic_share=_drop_below_min_step(current.traffic_share / 2),
             reason=state.value,
             is_recovering=False,
             relapses=current.relapses + 1,
@@ -203,14 +217,18 @@
         )
 
     def _may_recover(self, zone: str, state: ZoneState) -> bool:
-        # Nobody can judge a small site's zone that gets next to no traffic: a step of recovery tells.
+        # At a small site an evacuated zone gets too little traffic to be observed. The zone then recovers by
+        # a step, whose traffic shows whether it is healthy.
         if state not in (ZoneState.HEALTHY, ZoneState.UNOBSERVED):
             return False
         required_us = self._evacuations[zone].required_healthy_us
         return self._conditions.healthy_for_us.get(zone, 0) >= required_us
 
     def _recover(self, zone: str) -> ZoneEvacuation:
-        """A step of recovery as large as the replicas sustain; in service, relapses are forgotten in time."""
+        """Return the zone after a step of recovery that its replicas can sustain.
+
+        The relapses of a zone in service stop counting once it has been healthy for `max_healthy_us`.
+        """
         current = self._evacuations[zone]
         if current.traffic_share >= 1.0:
             healthy_us = self._conditions.healthy_for_us.get(zone, 0)
@@ -219,12 +237,13 @@
             return msgspec.structs.replace(current, traffic_share=1.0, reason="", is_recovering=False)
         step = min(MAX_RECOVERY_STEP, self._loads[zone].sustainable_share - current.traffic_share)
         if step < min(MIN_STEP, 1.0 - current.traffic_share):
-            return current  # its replicas have to warm up first
+            # The zone's replicas have to warm up before they can serve more.
+            return current
         share = current.traffic_share + step
         share = 1.0 if share > 1.0 - MIN_STEP else share
         return msgspec.structs.replace(current, traffic_share=share, is_recovering=True)
 
 
-def _drop_remainder(share: float) -> float:
-    """The share, or none where the rest is not worth a step of its own."""
+def _drop_below_min_step(share: float) -> float:
+    """Return the share, or 0 if it is smaller than the smallest step."""
     return share if share >= MIN_STEP else 0.0
