--- a/gradehoist/zones/health.py
+++ b/gradehoist/zones/health.py
@@ -1,10 +1,11 @@
-"""Health of zones as the governors observe it, and the fleet's assessment of all their reports. Free of I/O.
-
-Each governor publishes a small report. The assessment weighs the reports by traffic, capped at the median
-report's, and takes the weighted majority: a governor that reports falsely changes nothing while it has less
-than half the weight. An observer that sees most other zones fail while their other observers see them healthy
-is itself isolated, and its observations of other zones do not count. Where most zones fail for everybody, no
-single zone is at fault.
+"""Assesses the health of zones from the reports of all governors. Free of I/O.
+
+Each governor publishes a small report of what it observed, and is called an observer here. The assessment
+weights each report by the observer's traffic, capped at the median of all observers, and takes the weighted
+majority. A governor that reports falsely so changes nothing as long as it has less than half of the weight.
+An observer that sees most other zones fail, while the other observers see them healthy, is itself isolated;
+its observations of other zones are ignored. If most zones fail according to all observers, no single zone is
+at fault.
 """
 
 from __future__ import annotations
@@ -17,36 +18,38 @@
 
 import msgspec
 
-# Attempts below which a share says nothing: with a tenth failing by chance, five failures of 20 are rare.
+# Number of attempts below which the share of failures is not evaluated. If a tenth of all attempts fails at
+# random, five failures among 20 are rare.
 MIN_ATTEMPTS = 20.0
-# Health checks below which their share says nothing.
+# Number of health checks below which the share of failed ones is not evaluated.
 MIN_HEALTH_CHECKS = 3
-# Share of failures at which a zone is evacuated: below it most of its replicas still serve.
+# Share of failures from which a zone counts as failing. Below it, most of the zone's replicas still serve.
 FAILING_SHARE = 0.5
-# Share of late responses at which a zone is slow.
+# Share of late responses from which a zone counts as slow.
 LATE_SHARE = 0.5
-# Share of replicas without load reports at which a zone fails: more than any fault of one replica brings.
+# Share of silent replicas above which a zone counts as failing. The fault of a single replica does not reach
+# it.
 SILENT_SHARE = 0.5
-# Share of the observers' weight that makes a majority.
+# Share of the observers' weight that is a majority.
 MAJORITY = 0.5
-# Weight of an observer without traffic: it decides only where no other can.
+# Weight of an observer without traffic. It is so small that the observer decides only if no other one can.
 MIN_WEIGHT = 1e-6
 
 DEFAULT_WINDOW_US = 10_000_000
 
 
 class ZoneObservation(msgspec.Struct, frozen=True):
-    """What one observer saw of one zone over its last seconds.
+    """What one observer measured of one zone within the report's window.
 
     Attributes:
-        attempts: Requests that were tried there.
+        attempts: Attempts sent to the zone.
         failures: Attempts that failed.
-        late_responses: Completed attempts that missed the latency objective.
-        ready_replicas: Replicas that the endpoint list has as ready.
-        silent_replicas: Those of them with failures and without a success.
-        health_checks: Health checks sent.
+        late_responses: Successful attempts that missed the latency objective.
+        ready_replicas: Replicas that are ready according to the endpoint list.
+        silent_replicas: Ready replicas whose attempts all failed.
+        health_checks: Health checks sent to the zone.
         failed_health_checks: Health checks that failed.
-        busy_share: Mean busy share of the warm replicas, below 0 where none reports.
+        busy_share: Mean busy share of the warm replicas, or a negative value if none reports it.
         sustainable_share: Share of its own traffic that the zone can serve while its replicas warm up.
     """
 
@@ -62,7 +65,7 @@
 
 
 class PlanVersion(NamedTuple):
-    """Which step of which plan tables follow; encoded as an array."""
+    """Identifies one step of an evacuation plan. It is encoded as an array."""
 
     generation: int
     step: int
@@ -75,15 +78,16 @@
     """One governor's report, a record of the coordination store.
 
     Attributes:
-        zone: The zone in which the observer stands.
-        requests_per_s: The traffic that it routes.
-        list_age_us: How long ago its endpoint list was last confirmed.
-        observations: What it saw, by zone.
-        window_us: The time that the observations cover.
-        offered_by_zone: Requests per second that its proxies received, by their zone and by class.
-        incarnation: The process that reports.
-        applied_plan: Version of the evacuation plan that all its tables follow.
-        applied_allocation: Generation of the quota allocation that all its tables follow.
+        zone: The zone in which the observer runs.
+        requests_per_s: The traffic that the observer's proxies route.
+        list_age_us: Time since the observer's endpoint list was last confirmed.
+        observations: What the observer measured, by zone.
+        window_us: The period that the observations cover.
+        offered_by_zone: Requests per second that its proxies received, by zone of the proxy and request
+            class.
+        incarnation: The observer's incarnation.
+        applied_plan: Version of the evacuation plan that all of the observer's tables follow.
+        applied_allocation: Generation of the quota allocation that all of the observer's tables follow.
     """
 
     zone: str
@@ -98,7 +102,7 @@
 
 
 class ZoneState(Enum):
-    """The fleet's assessment of one zone; the values are in records and in the HTTP status."""
+    """The assessment of one zone. The values are stored in records and appear in the HTTP status."""
 
     HEALTHY = "well"
     SLOW = "slow but alive"
@@ -108,7 +112,7 @@
 
 
 class FleetFault(Enum):
-    """A fault of the fleet as a whole; the values are in the HTTP status."""
+    """A fault of the fleet as a whole. The values appear in the HTTP status."""
 
     NONE = "none"
     DISCOVERY_LOST = "discovery lost"
@@ -117,7 +121,13 @@
 
 @dataclass(frozen=True)
 class FleetHealth:
-    """The assessment of all reports; `excluded_observers` has the reason by observer."""
+    """The assessment of all reports.
+
+    Attributes:
+        zones: State by zone.
+        fault: The fault of the fleet as a whole.
+        excluded_observers: Why an observer was excluded, by observer.
+    """
 
     zones: Mapping[str, ZoneState]
     fault: FleetFault
@@ -125,7 +135,7 @@
 
 
 class ObservedState(Enum):
-    """One observer's judgement of one zone; a higher value is worse."""
+    """The state of one zone according to one observer. A higher value is a worse state."""
 
     HEALTHY = 0
     SLOW = 1
@@ -134,19 +144,19 @@
 
 @dataclass(frozen=True)
 class TimedReport:
-    """A report and when this process received it, by its own clock."""
+    """A report and the time at which this process received it, by its own clock."""
 
     report: HealthReport
     received_us: int
 
 
 def classify_observation(observation: ZoneObservation | None) -> ObservedState | None:
-    """What one observer's figures say of a zone, or None where they are too few to tell."""
+    """Return the state of a zone according to one observation, or None if it contains too few samples."""
     if observation is None:
         return None
     if observation.attempts >= MIN_ATTEMPTS:
         return _classify_attempts(observation)
-    # Where no traffic is sent any more, health checks tell.
+    # Health checks are evaluated if the zone gets too little traffic.
     if observation.health_checks >= MIN_HEALTH_CHECKS:
         is_failing = observation.failed_health_checks >= FAILING_SHARE * observation.health_checks
         return ObservedState.FAILING if is_failing else ObservedState.HEALTHY
@@ -165,28 +175,28 @@
 
 
 class HealthAssessor:
-    """Holds the latest report of each observer and assesses them together."""
+    """Keeps the latest report of each observer and assesses the zones from all of them."""
 
     def __init__(self, report_ttl_us: int, list_ttl_us: int) -> None:
         """Create an assessor without reports.
 
         Args:
-            report_ttl_us: A report that was not renewed for so long does not count.
-            list_ttl_us: An endpoint list that was not confirmed for so long is lost.
+            report_ttl_us: Age from which a report is ignored.
+            list_ttl_us: Time without confirmation after which an endpoint list counts as lost.
         """
         self.report_ttl_us = report_ttl_us
         self.list_ttl_us = list_ttl_us
         self.reports = dict[str, TimedReport]()
 
     def record_report(self, now_us: int, observer: str, report: HealthReport | None) -> None:
-        """Take an observer's report as the coordination store delivered it; None removes it."""
+        """Store an observer's report from the coordination store. A report of None removes it."""
         if report is None:
             self.reports.pop(observer, None)
         else:
             self.reports[observer] = TimedReport(report, now_us)
 
     def fresh_reports(self, now_us: int) -> dict[str, HealthReport]:
-        """The reports that still count, by observer."""
+        """Return the reports that are younger than `report_ttl_us`, by observer."""
         return {
             observer: timed.report
             for observer, timed in self.reports.items()
@@ -194,7 +204,7 @@
         }
 
     def assess(self, now_us: int) -> FleetHealth:
-        """Assess every zone and the fleet from the fresh reports."""
+        """Assess every zone and the fleet as a whole from the fresh reports."""
         assessment = _Assessment(self.fresh_reports(now_us))
         excluded = assessment.find_isolated_observers()
         states = {zone: assessment.assess_zone(zone, excluded) for zone in assessment.zones}
@@ -206,7 +216,7 @@
 
 
 class _Assessment:
-    """One assessment over a fixed set of reports."""
+    """One assessment of a fixed set of reports."""
 
     def __init__(self, reports: Mapping[str, HealthReport]) -> None:
         self._reports = reports
@@ -226,35 +236,37 @@
     def _weigh_observers(self) -> dict[str, float]:
         if not self._reports:
             return {}
-        # Capped at the median: with a cap of twice that, one false report of traffic outvoted two observers.
-        usual = median([report.requests_per_s for report in self._reports.values()])
+        # Weights are capped at the median. With a cap of twice the median, one observer with a false report
+        # of high traffic outvoted two others.
+        cap = median([report.requests_per_s for report in self._reports.values()])
         return {
-            observer: min(report.requests_per_s, usual) or MIN_WEIGHT
+            observer: min(report.requests_per_s, cap) or MIN_WEIGHT
             for observer, report in self._reports.items()
         }
 
     def _share_at_least(self, observed: Mapping[str, ObservedState], state: ObservedState) -> float | None:
-        """Share of the observers' weight that sees `state` or worse; None without observers."""
+        """Return the share of the observers' weight that reports `state` or worse; None without observers."""
         total = sum(self._weights[observer] for observer in observed)
         if total <= 0:
             return None
         return sum(self._weights[o] for o, seen in observed.items() if seen.value >= state.value) / total
 
     def find_isolated_observers(self) -> dict[str, str]:
-        """Observers that see most other zones fail, where most of the others' weight sees them healthy.
+        """Return the observers that see most other zones fail while the majority does not, with the reason.
 
-        With everybody in doubt nobody is excluded: then the fleet's fault is `MOST_ZONES_FAILING`.
+        If all observers see most zones fail, none of them is isolated, and the fleet's fault is
+        `MOST_ZONES_FAILING`.
         """
         isolated = dict[str, str]()
         for observer, report in self._reports.items():
             others = [z for z in self.zones if z != report.zone and observer in self._observed[z]]
             contradicted = [z for z in others if self._is_contradicted(observer, report.zone, z)]
             if others and 2 * len(contradicted) > len(others):
-                isolated[observer] = f"sees {', '.join(contradicted)} fail, which others see well"
+                isolated[observer] = f"reports {', '.join(contradicted)} as failing, the majority does not"
         return isolated
 
     def _is_contradicted(self, observer: str, own_zone: str, zone: str) -> bool:
-        """Whether this observer sees the zone fail and most observers outside its own zone do not."""
+        """Whether this observer sees the zone fail and the majority outside its own zone does not."""
         if self._observed[zone][observer] is not ObservedState.FAILING:
             return False
         elsewhere = {o: s for o, s in self._observed[zone].items() if self._reports[o].zone != own_zone}
@@ -262,7 +274,7 @@
         return failing_share is not None and failing_share < MAJORITY
 
     def assess_zone(self, zone: str, excluded: Mapping[str, str]) -> ZoneState:
-        """The state of a zone; excluded observers count for their own zone alone."""
+        """Return the state of a zone. Excluded observers count only for their own zone."""
         observed = {
             observer: state
             for observer, state in self._observed[zone].items()
@@ -275,7 +287,8 @@
         if failing_inside is None and failing_outside is None:
             return ZoneState.UNOBSERVED
         if failing_outside is not None and failing_outside >= MAJORITY:
-            # Only its own observers tell a zone that fails from one that the others can't reach.
+            # Only observers inside the zone can distinguish a failing zone from one that is unreachable from
+            # outside.
             is_failing = failing_inside is None or failing_inside >= MAJORITY
             return ZoneState.FAILING if is_failing else ZoneState.PARTITIONED
         if failing_outside is None and failing_inside is not None and failing_inside >= MAJORITY:
@@ -285,7 +298,7 @@
         return ZoneState.SLOW if is_slow else ZoneState.HEALTHY
 
     def find_fleet_fault(self, states: Mapping[str, ZoneState], list_ttl_us: int) -> FleetFault:
-        """The fault that concerns more than single zones, if there is one."""
+        """Return the fault of the fleet as a whole, if there is one."""
         known = [state for state in states.values() if state is not ZoneState.UNOBSERVED]
         failing = sum(state in (ZoneState.FAILING, ZoneState.PARTITIONED) for state in known)
         if len(known) > 1 and 2 * failing > len(known):
