--- a/gradehoist/zones/warmup_quota.py
+++ b/gradehoist/zones/warmup_quota.py
@@ -1,11 +1,12 @@
-"""Allocation of a quota among processes, so that what is in use never exceeds the whole. Free of I/O.
-
-An allocation is a record with a generation: the quota of each member, and the upper bound of what each may
-still use. A quota grows only by what is certainly free. One that shrinks is free only once its member has
-confirmed the allocation, as until then its tables may hold the larger one. A member that has left keeps its
-quota until its tables can no longer be used: its proxies have joined others, or the drain timeout has passed
-since its session was seen to end. Members are incarnations, so a process that starts anew is another member
-and begins with nothing.
+"""Allocates a quota among processes such that their total use never exceeds the whole. Free of I/O.
+
+An allocation is a record with a generation. It holds the quota of each member, and an upper bound of what
+each member may still use. A member's quota grows only by what is certainly unused. What a member has to give
+back becomes available only when the member has confirmed the allocation, because its tables may follow the
+previous, larger quota until then. A member that has left keeps its quota until its tables can no longer be
+used, which is when its proxies have joined other governors, or when the drain timeout has passed since its
+session was seen to end. Members are incarnations: a process that restarts is a new member, and begins without
+a quota.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 
 import msgspec
 
-# Shares that differ by less than this part of themselves count as equal: traffic is never steady, and each
-# allocation is a record of the fleet's size that all processes read.
+# Shares with a smaller relative difference than this count as equal. The traffic varies all the time, and
+# each allocation is a record that grows with the fleet and is read by all processes.
 SIMILARITY_TOLERANCE = 0.1
 
 
@@ -23,10 +24,11 @@
     """One allocation, a record of the coordination store.
 
     Attributes:
-        generation: Counts the allocations.
-        leader: Incarnation of the process that made it.
-        quotas: Share of each member, 1.0 in all.
-        upper_bounds: The most that each member may use by any allocation since the last that it confirmed.
+        generation: Number of the allocation.
+        leader: Incarnation of the leader that wrote it.
+        quotas: Quota of each member. The sum is at most 1.0.
+        upper_bounds: The largest quota that each member may have in use, according to all allocations since
+            the last one that it confirmed.
     """
 
     generation: int = msgspec.field(name="gen")
@@ -42,24 +44,24 @@
     confirmed: Mapping[str, int],
     departed: Collection[str],
 ) -> QuotaAllocation | None:
-    """The next allocation in proportion to traffic, or None where nothing would change.
+    """Return the next allocation in proportion to traffic, or None if it equals the current one.
 
     Args:
         current: The allocation in force.
-        leader: Incarnation of the process that makes the next one.
-        requests_per_s: Traffic by member; every member is listed.
-        confirmed: By member, the generation that its tables follow.
+        leader: Incarnation of the leader that writes the next allocation.
+        requests_per_s: Traffic of every member.
+        confirmed: Generation of the allocation that a member's tables follow, by member.
         departed: Members whose tables can no longer be used.
     """
     reserved = _reserved_shares(current, confirmed, departed)
     wanted = _wanted_shares(requests_per_s)
     available = max(0.0, 1.0 - sum(reserved.values()))
     missing = sum(max(0.0, share - reserved.get(member, 0.0)) for member, share in wanted.items())
-    granted_part = min(1.0, available / missing) if missing > 0 else 0.0
+    granted_fraction = min(1.0, available / missing) if missing > 0 else 0.0
     quotas = dict[str, float]()
     for member, share in wanted.items():
         held = reserved.get(member, 0.0)
-        quotas[member] = min(share, held) + granted_part * max(0.0, share - held)
+        quotas[member] = min(share, held) + granted_fraction * max(0.0, share - held)
     upper_bounds = _upper_bounds(reserved, quotas)
     if _are_similar(quotas, current.quotas) and _are_similar(upper_bounds, current.upper_bounds):
         return None
@@ -71,7 +73,7 @@
 def _reserved_shares(
     current: QuotaAllocation, confirmed: Mapping[str, int], departed: Collection[str]
 ) -> dict[str, float]:
-    """What each member may still use: its quota once confirmed, else its upper bound."""
+    """Return what each member may still use: its quota if it has confirmed that, else its upper bound."""
     reserved = dict[str, float]()
     for member, upper_bound in current.upper_bounds.items():
         if member in departed:
