--- a/gradehoist/coordination/__init__.py
+++ b/gradehoist/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""What the processes of one fleet share: the store, sessions, membership, fencing. Free of I/O."""
+"""Coordination of the processes of one fleet: store, sessions, failure detection, fencing. Free of I/O."""
--- a/gradehoist/coordination/election.py
+++ b/gradehoist/coordination/election.py
@@ -1,9 +1,10 @@
-"""Leader election: who may do what one process alone may do. Free of I/O.
+"""Leader election, for tasks that only one process at a time may do. Free of I/O.
 
-Leadership is claimed by a higher generation and needs no clock. It may be taken from a living leader: that
-costs the leader its next effect, which is rejected where it would be taken, and never leads to two. A
-takeover therefore waits only out of courtesy: a leader whose member record has gone is given some time to
-come back.
+A process claims leadership by writing a higher generation, which needs no clock. Leadership can be taken from
+a leader that is still running. Effects of that leader are then rejected by their older fencing token, so
+there are never two leaders whose effects are accepted. A takeover therefore needs no delay to be safe. The
+delay only gives a leader whose member record is gone the time to return, which avoids needless changes of
+leadership.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from gradehoist.coordination.fencing import FencingToken
 from gradehoist.coordination.notifications import CommitOutcome
 from gradehoist.coordination.participant import Participant
-from gradehoist.coordination.records import RIGHTS_PREFIX, MemberRecord, OwnershipRecord
+from gradehoist.coordination.records import ELECTIONS_PREFIX, MemberRecord, OwnershipRecord
 
 TAKEOVER_SPREAD = 4
-"""Candidates claim one after the other, up to so many takeover delays later than the first."""
+"""Number of takeover delays over which the claims of the candidates are spread, by their rank."""
 
 
 @dataclass
 class LeaderElection:
-    """One process' candidacy in the election called `name`.
+    """One process' candidacy in an election.
 
     Attributes:
-        name: Of the election; its record is `rights/NAME`.
-        takeover_delay_us: How long a leader is given to come back.
-        rank: From 0 to 1; orders the candidates in time.
-        fencing_token: What this process leads under; None while it does not lead.
+        name: Name of the election. Its ownership record is stored as `rights/NAME`.
+        takeover_delay_us: How long the leader's member record is missing before the first candidate claims.
+        rank: A number from 0 to 1. Candidates with a higher rank claim later.
+        fencing_token: The fencing token of this process as the leader, or None while it is not the leader.
     """
 
     name: str
@@ -40,11 +41,11 @@
 
     @property
     def record_key(self) -> str:
-        """Key of the election's ownership record."""
-        return f"{RIGHTS_PREFIX}{self.name}"
+        """The key of the election's ownership record."""
+        return f"{ELECTIONS_PREFIX}{self.name}"
 
     def advance(self, now_us: int, participant: Participant) -> None:
-        """Compares with the cached record; claims leadership where no leader is there."""
+        """Updates `fencing_token` from the cached record, and claims leadership if there is no leader."""
         owner = participant.decode_record(self.record_key, OwnershipRecord)
         if owner is not None and self._is_own(owner, participant):
             self.fencing_token = owner.fencing_token
@@ -57,7 +58,7 @@
         if owner is None:
             self._claim(participant)
             return
-        if owner.holder != participant.identity.incarnation and _is_present(owner, participant):
+        if owner.holder != participant.identity.incarnation and _has_member_record(owner, participant):
             self._vacant_since_us = None
             return
         if self._vacant_since_us is None:
@@ -66,7 +67,10 @@
             self._claim(participant)
 
     def on_commit_settled(self, commit_id: str, outcome: CommitOutcome) -> None:
-        """Takes how a claim ended; one of unknown outcome shows in the cached record in time."""
+        """Handles the outcome of a commit if it is this process' claim.
+
+        If the outcome is unknown, the cached record shows later whether the claim was committed.
+        """
         if commit_id != self._claim_id:
             return
         if outcome is CommitOutcome.COMMITTED:
@@ -75,7 +79,7 @@
         self._vacant_since_us = None
 
     def on_token_rejected(self, participant: Participant, known: FencingToken) -> None:
-        """Whoever takes the effects knows a token that stands against this process' one."""
+        """Gives up leadership after an effect was rejected because of the token `known`."""
         if self.fencing_token is not None and known.generation >= self.fencing_token.generation:
             participant.records.raise_floor(self.record_key, known.generation)
             self.fencing_token = None
@@ -98,8 +102,8 @@
         self._claim_id = participant.propose(participant.build_put(self.record_key, owner))
 
 
-def _is_present(owner: OwnershipRecord, participant: Participant) -> bool:
-    """Whether the member record of a holder is there."""
+def _has_member_record(owner: OwnershipRecord, participant: Participant) -> bool:
+    """Whether the holder has a member record for the same incarnation."""
     if not owner.member_key:
         return False
     member = participant.decode_record(owner.member_key, MemberRecord)
--- a/gradehoist/coordination/records.py
+++ b/gradehoist/coordination/records.py
@@ -15,7 +15,7 @@
 
 MEMBERS_PREFIX = "members/"
 NAMES_PREFIX = "names/"
-RIGHTS_PREFIX = "rights/"
+ELECTIONS_PREFIX = "rights/"
 GENERATION_FLOORS_KEY = "floors"
 """Key of the record of generations that may not be issued again, by the key of their ownership record."""
 
