--- a/gradehoist/coordination/calls.py
+++ b/gradehoist/coordination/calls.py
@@ -1,4 +1,4 @@
-"""When a participant makes its next call of one kind, and how long it pauses after failures."""
+"""Schedules a participant's calls to the coordination store, with backoff after failures."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 
 FIRST_BACKOFF_US = 200_000
-"""Pause after the first failure: short beside a session's lifetime of some seconds, long beside a call."""
+"""Backoff after the first failure: much shorter than a session's lifetime, and much longer than a call."""
 
 MAX_DOUBLINGS = 8
-"""The pause is bounded by the session's lifetime well before this; it only keeps the shift small."""
+"""Bounds the exponent of the backoff. The limit by the session's lifetime is reached well before it."""
 
 
 @dataclass
@@ -17,10 +17,10 @@
     """The schedule of one kind of call, of which at most one is in flight.
 
     Attributes:
-        failures: Failures since the last success.
-        next_at_us: When the next call may be made.
-        request_id: The request in flight, or None.
-        sent_at_us: When the last request was sent.
+        failures: Number of failures since the last success.
+        next_at_us: Earliest time of the next call.
+        request_id: Id of the request in flight, or None.
+        sent_at_us: Time at which the last request was sent.
     """
 
     failures: int = 0
@@ -30,7 +30,7 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether a request waits for its response."""
+        """Whether a request is waiting for its response."""
         return self.request_id is not None
 
     def is_due(self, now_us: int) -> bool:
@@ -43,7 +43,7 @@
         self.sent_at_us = now_us
 
     def restart(self, next_at_us: int) -> None:
-        """Forgets the request in flight and past failures."""
+        """Drops the request in flight, resets the count of failures and sets the time of the next call."""
         self.failures = 0
         self.next_at_us = next_at_us
         self.request_id = None
@@ -52,20 +52,20 @@
 class Backoff:
     """Exponential backoff with jitter, reproducible from a seed.
 
-    The pause grows up to half a session's lifetime: sessions that an outage left alive are then still renewed
-    in time, and all processes together make no more calls than on a quiet day. Jitter spreads their return
-    over seconds.
+    The delay is limited to half a session's lifetime. Sessions that have survived an outage are then still
+    renewed in time, and during an outage all processes together make no more calls than in normal operation.
+    The jitter spreads the calls of all processes after an outage over several seconds.
     """
 
     def __init__(self, seed: int, session_ttl_us: int) -> None:
-        """Takes `seed`, which is to differ between processes."""
+        """Creates a backoff whose jitter follows from `seed`, which has to differ between processes."""
         self._seed = seed
-        self._longest_us = session_ttl_us // 2
+        self._max_delay_us = session_ttl_us // 2
         self._samples = 0
 
     def delay_us(self, failures: int) -> int:
-        """The pause after that many failures in a row: 0.5 to 1.5 times the doubled first pause."""
+        """Returns the delay after `failures` failures in a row, with jitter from 0.5 to 1.5 times it."""
         self._samples += 1
         jitter = zlib.crc32(f"{self._seed}:{self._samples}".encode()) / 2**32
         doubled_us = FIRST_BACKOFF_US << min(failures - 1, MAX_DOUBLINGS)
-        return int(min(doubled_us, self._longest_us) * (0.5 + jitter))
+        return int(min(doubled_us, self._max_delay_us) * (0.5 + jitter))
--- a/gradehoist/coordination/in_flight.py
+++ b/gradehoist/coordination/in_flight.py
@@ -1,4 +1,4 @@
-"""The requests that a participant has sent and that wait for a response. Free of I/O."""
+"""Keeps track of the requests of a participant that are waiting for a response. Free of I/O."""
 
 from __future__ import annotations
 
@@ -10,15 +10,21 @@
 from gradehoist.coordination.writes import CommitQueue
 
 CALL_TIMEOUT_US = 2_000_000
-"""How long any call but a watch waits for its response, and how late a watch's response may be."""
+"""Timeout of a call. A watch has this time in addition to its own waiting time."""
 
 Caller = Watch | Session | CommitQueue
-"""The parts of a participant that make calls, each at most one at a time."""
+"""The parts of a participant that make calls. Each has at most one call in flight."""
 
 
 @dataclass(frozen=True)
 class Call:
-    """A call in flight: who made it, and the revision that was known when it left."""
+    """A call in flight.
+
+    Attributes:
+        caller: The part of the participant that made the call.
+        operation: The operation that was requested.
+        known_revision: The cached revision when the call was sent.
+    """
 
     caller: Caller
     operation: Operation
@@ -26,15 +32,15 @@
 
 
 class CallsInFlight:
-    """Numbers requests and remembers which call each belongs to."""
+    """Assigns request ids, and maps each request in flight to its call."""
 
     def __init__(self) -> None:
-        """Begins without calls."""
+        """Creates a mapping without calls."""
         self._calls: dict[int, Call] = {}
         self._last_request_id = 0
 
     def send(self, call: Call, now_us: int) -> StoreRequest:
-        """Registers a call and returns the request to carry out."""
+        """Registers a call and returns the request to perform."""
         self._last_request_id += 1
         request_id = self._last_request_id
         self._calls[request_id] = call
@@ -45,17 +51,17 @@
         return StoreRequest(request_id=request_id, operation=call.operation, timeout_us=timeout_us)
 
     def take(self, request_id: int) -> Call | None:
-        """The call that a result belongs to; None for one that was abandoned."""
+        """Removes and returns the call that a result belongs to, or None if the call was abandoned."""
         call = self._calls.pop(request_id, None)
         if call is not None:
             call.caller.schedule.request_id = None
         return call
 
     def abandon(self, caller: Caller) -> None:
-        """Gives up a caller's call, if there is one: its result is passed over."""
+        """Abandons the call that a caller has in flight, if any. Its result will be ignored."""
         if caller.schedule.request_id is not None:
             self.take(caller.schedule.request_id)
 
     def abandon_all(self) -> None:
-        """Gives up all calls; the callers restart their schedules themselves."""
+        """Abandons all calls. The callers have to restart their schedules themselves."""
         self._calls.clear()
