--- a/gradehoist/coordination/fallback.py
+++ b/gradehoist/coordination/fallback.py
@@ -1,9 +1,9 @@
-"""What was last agreed, kept over an outage of the store for a stated time and then given up by a ramp.
+"""Holds the last agreed limits during an outage of the store, and relaxes them along a ramp. Free of I/O.
 
-Losing the store costs coordination and nothing else: during an outage the last agreed limits stand; after
-`hold_us` each process ramps over `ramp_us` to what it does alone; once the store responds, it ramps in the
-same way to what is agreed then. No limit is left in one step but for a lower one, which is safe at once. Free
-of I/O.
+An outage of the store must not affect anything but coordination. The last agreed limits stay in force for
+`hold_us`. After that each process raises them linearly, over `ramp_us`, up to what it does without
+coordination. When the store responds again, the limits change to those agreed at that time. A limit is always
+raised along the ramp, and is lowered at once, because a lower limit is safe.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from gradehoist.coordination.fencing import FencingToken, TokenOrder, compare_tokens
 
 UNLIMITED = 1.0
-"""The limit of what a process does alone, as a share of it."""
+"""The limit that leaves a process as it is without coordination."""
 
 
 @dataclass
 class AgreedLimits:
-    """Upper limits by name, as shares of what a process does alone.
+    """Upper limits by name. A limit of 0.5 allows half of what a process does without coordination.
 
     Attributes:
-        hold_us: How long the limits stand without the store.
-        ramp_us: How long a limit takes from 0 to 1.
-        fencing_token: Under which the limits were agreed last.
+        hold_us: How long the limits are held while the store is unavailable.
+        ramp_us: How long raising a limit from 0 to 1 takes.
+        fencing_token: The token of the leader whose limits were accepted last, or None before the first.
     """
 
     hold_us: int
@@ -36,7 +36,7 @@
     _lost_since_us: int | None = None
 
     def accept(self, now_us: int, token: FencingToken, limits: Mapping[str, float]) -> bool:
-        """Takes limits agreed under `token`; returns False for a token that a newer one has ended."""
+        """Accepts limits that a leader wrote under `token`; returns False if a newer token is known."""
         if compare_tokens(token, self.fencing_token) in (TokenOrder.OLDER, TokenOrder.CONFLICTING):
             return False
         self._advance(now_us)
@@ -46,24 +46,24 @@
         return True
 
     def on_store_lost(self, now_us: int) -> None:
-        """The store does not respond since now, or since an earlier such call."""
+        """Begins an outage of the store, unless one has begun already."""
         if self._lost_since_us is None:
             self._advance(now_us)
             self._lost_since_us = now_us
 
     def on_store_recovered(self, now_us: int) -> None:
-        """The store responds."""
+        """Ends an outage of the store."""
         self._advance(now_us)
         self._lost_since_us = None
         self._lower()
 
     @property
     def is_store_lost(self) -> bool:
-        """Whether the store does not respond."""
+        """Whether there is an outage of the store."""
         return self._lost_since_us is not None
 
     def limits_at(self, now_us: int) -> dict[str, float]:
-        """The limits in force now; a name that is not there is unlimited."""
+        """Returns the limits in force now. Names that are not listed are unlimited."""
         self._advance(now_us)
         return dict(self._in_force)
 
@@ -72,16 +72,16 @@
             self._in_force[name] = min(agreed, self._in_force.get(name, UNLIMITED))
 
     def _advance(self, now_us: int) -> None:
-        """Moves the limits along the ramp, by the time since the last look in which they could move."""
+        """Moves the limits along the ramp by the time since the last call, less the time they were held."""
         since_us = self._advanced_us
         self._advanced_us = now_us
         names = self._in_force.keys() | self._agreed.keys()
         if self._lost_since_us is None:
             self._ramp({name: self._agreed.get(name, UNLIMITED) for name in names}, now_us - since_us)
             return
-        alone_from_us = self._lost_since_us + self.hold_us
-        if now_us > alone_from_us:
-            self._ramp(dict.fromkeys(names, UNLIMITED), now_us - max(since_us, alone_from_us))
+        hold_ends_us = self._lost_since_us + self.hold_us
+        if now_us > hold_ends_us:
+            self._ramp(dict.fromkeys(names, UNLIMITED), now_us - max(since_us, hold_ends_us))
 
     def _ramp(self, targets: dict[str, float], duration_us: int) -> None:
         step = duration_us / self.ramp_us
