--- a/gradehoist/coordination/fencing.py
+++ b/gradehoist/coordination/fencing.py
@@ -1,10 +1,11 @@
-"""Fencing tokens, whose generations only grow, checked by whoever takes an effect. Free of I/O.
-
-A resource has a generation and a holder. Whoever takes an effect under it (a replica, a delivery queue, an
-event sink) keeps, together with the effect, the highest token that it was presented, and rejects all below
-it. Two holders of one generation can come only of a store that was rolled back: the first one presented
-stands, and the other has to take a higher one. No clock, lease or opinion on who lives is consulted, so the
-check holds for a process that was suspended for half a minute in the middle of a step.
+"""Fencing tokens, which the receiver of an effect checks before it applies the effect. Free of I/O.
+
+A fencing token consists of a generation, which only grows, and a holder. The receiver of effects on a
+resource (a replica, a delivery queue, an event sink) stores the highest token that it has been presented,
+together with the effect, and rejects all lower tokens. Two holders can have the same generation only if the
+store was rolled back. The receiver then accepts the one that was presented first, and the other has to
+acquire a higher generation. The check uses no clock, lease or failure detection. It therefore also holds for
+a process that was suspended for half a minute between reading its token and requesting the effect.
 """
 
 from __future__ import annotations
@@ -16,9 +17,11 @@
 
 
 class FencingToken(NamedTuple):
-    """The right to take effects on a resource.
+    """Authorizes effects on a resource.
 
-    `holder` is one incarnation of one process, or a record's id; it is never used again for another.
+    Attributes:
+        generation: Generation of the resource's ownership.
+        holder: The incarnation of a process, or the id of a record. It is never reused.
     """
 
     generation: int
@@ -26,17 +29,17 @@
 
 
 class TokenOrder(Enum):
-    """How a presented token compares with the known one."""
+    """How a presented token compares with the known token."""
 
     NEWER = "newer"
     SAME = "same"
     OLDER = "older"
     CONFLICTING = "conflicting"
-    """The same generation of another holder."""
+    """The generation is the same and the holder differs."""
 
 
 def compare_tokens(presented: FencingToken, known: FencingToken | None) -> TokenOrder:
-    """Compares a presented token with the one known; any is newer than none."""
+    """Compares a presented token with the known one. If none is known, the presented token is newer."""
     if known is None or presented.generation > known.generation:
         return TokenOrder.NEWER
     if presented.generation < known.generation:
@@ -46,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceDecision:
-    """Whether an effect may be taken.
+    """The decision whether an effect may be applied.
 
     Attributes:
-        fence: The fence after it, to be kept in one step with the effect.
-        rejected_by: The token that stands against it; None where the effect may be taken.
+        fence: The fence after the decision. It has to be stored atomically with the effect.
+        rejected_by: The known token because of which the effect is rejected, or None if it may be applied.
     """
 
     fence: Fence
@@ -58,18 +61,18 @@
 
     @property
     def is_admitted(self) -> bool:
-        """Whether the effect may be taken."""
+        """Whether the effect may be applied."""
         return self.rejected_by is None
 
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """The highest token of each resource, held by whoever takes effects on it."""
+    """The highest token presented for each resource, stored by the receiver of effects."""
 
     highest_tokens: Mapping[str, FencingToken] = field(default_factory=dict)
 
     def present(self, resource: str, token: FencingToken) -> FenceDecision:
-        """Decides on an effect on `resource` under `token`."""
+        """Decides whether an effect on `resource` under `token` may be applied."""
         known = self.highest_tokens.get(resource)
         match compare_tokens(token, known):
             case TokenOrder.NEWER:
