--- a/gradehoist/coordination/members.py
+++ b/gradehoist/coordination/members.py
@@ -1,12 +1,17 @@
-"""Which members of the fleet are there: a failure detector that suspects before it declares. Free of I/O.
-
-It has three sources, none of them proof: the store (a member's record goes with its session), contacts of
-this process' own (one member at a time, in an order shuffled for each round, so that the cost does not grow
-with the fleet), and the reports of other members on whom they can't reach. A member whose record is there and
-that this process can't reach is unreachable locally; if most of the others that reach anybody report the
-same, it is unreachable by majority. A process that has lost most of the members listed in the store is itself
-isolated, and its report does not count. No effect rests on a member being dead: that is what fencing tokens
-are for.
+"""A failure detector, which follows the state of all members of the fleet. Free of I/O.
+
+It combines three sources:
+
+- The coordination store, in which a member's record is deleted when its session ends.
+- This process' own health checks. It checks one member at a time, in an order that is shuffled for each
+  round, so that the cost does not grow with the size of the fleet.
+- Reports of the other members about the members that they can't reach.
+
+None of them is proof that a member has failed, so a member is suspected first. A member that is listed in the
+store and that this process can't reach is unreachable locally. If most reports of the other members say the
+same, it is unreachable by majority. A process that can't reach most of the members listed in the store is
+itself isolated, and its report is ignored. Nothing relies on a member being dead: fencing tokens reject the
+effects of one that is not.
 """
 
 from __future__ import annotations
@@ -21,18 +26,19 @@
 
 from gradehoist.coordination.records import MemberRecord
 
-SUSPECT_AFTER_MISSES = 2
-"""Contacts missed in a row before a member is suspected: one is lost now and then."""
+SUSPECT_AFTER_FAILED_CHECKS = 2
+"""Failed health checks in a row after which a member is suspected. Single checks fail now and then."""
 
 ISOLATED_MIN_OTHERS = 2
-"""With fewer other members, one that can't be reached says nothing of who is cut off."""
+"""Isolation is evaluated from this number of other members on. With fewer, a member that can't be reached may
+be the isolated one."""
 
-FORGET_AFTER_LOST_TIMES = 10
-"""An ended member is forgotten after so many times the period after which a suspect counts as lost."""
+FORGET_AFTER_LOST_PERIODS = 10
+"""A member is removed when it has been in the state ENDED for this multiple of `lost_after_us`."""
 
 
 class MemberState(Enum):
-    """What is known of a member. The values appear in the HTTP status and in the log."""
+    """The state of a member. The values appear in the HTTP status and in the log."""
 
     ALIVE = "here"
     SUSPECTED = "suspected"
@@ -42,18 +48,18 @@
 
 
 class MemberStatus(NamedTuple):
-    """A member's state; `since_us` is when it began."""
+    """The state of a member, and since when it has been in this state."""
 
     state: MemberState
     since_us: int
 
 
 class ReachabilityReport(msgspec.Struct, frozen=True):
-    """A member's report on others, written to the store only when it changes.
+    """A member's report about the other members. It is written to the store only when it changes.
 
     Attributes:
-        unreachable: Keys of the members that it can't reach.
-        is_isolated: Whether it has lost most of all members, so that its report does not count.
+        unreachable: Keys of the members that the reporting member can't reach.
+        is_isolated: Whether the reporting member can't reach most members, so that its report is ignored.
     """
 
     unreachable: tuple[str, ...] = msgspec.field(name="lost", default=())
@@ -64,79 +70,86 @@
 class _TrackedMember:
     member: MemberRecord
     status: MemberStatus
-    missed_contacts: int = 0
-    missed_since_us: int = 0
+    failed_checks: int = 0
+    failing_since_us: int = 0
     record_gone_since_us: int | None = None
 
     @property
     def is_listed(self) -> bool:
-        """Whether its record is in the store."""
+        """Whether the member's record is in the store."""
         return self.record_gone_since_us is None
 
     @property
-    def misses_contacts(self) -> bool:
-        return self.missed_contacts >= SUSPECT_AFTER_MISSES
+    def is_failing_checks(self) -> bool:
+        return self.failed_checks >= SUSPECT_AFTER_FAILED_CHECKS
 
 
 class FailureDetector:
-    """Follows all members of the fleet for one process, whose member key is `own_key`."""
+    """Follows the state of all members of the fleet for one process.
 
-    def __init__(self, own_key: str, lost_after_us: int, contact_interval_us: int, seed: int) -> None:
-        """Takes its periods.
+    Attributes:
+        own_key: Key of this process' member record.
+        lost_after_us: How long health checks have to fail, or the record has to be missing, before a member
+            counts as unreachable or ended.
+        check_interval_us: Time from one health check to the next.
+        seed: Determines the order of health checks.
+        tracked: All members, by the key of their member record.
+        reports: The reports of the members, by the key of their member record.
+    """
 
-        A suspect that was missed for `lost_after_us` is unreachable; as long after its record went, a member
-        without contact has ended. `seed` orders the contacts.
-        """
+    def __init__(self, own_key: str, lost_after_us: int, check_interval_us: int, seed: int) -> None:
+        """Creates a detector without members."""
         self.own_key = own_key
         self.lost_after_us = lost_after_us
-        self.contact_interval_us = contact_interval_us
+        self.check_interval_us = check_interval_us
         self.seed = seed
         self.tracked: dict[str, _TrackedMember] = {}
         self.reports: dict[str, ReachabilityReport] = {}
         self._round: list[str] = []
         self._rounds = 0
-        self._next_contact_us = 0
+        self._next_check_us = 0
 
     def update_member(self, now_us: int, key: str, member: MemberRecord | None) -> None:
-        """Takes a member's record as the store has it; None where it went."""
+        """Updates a member from its record in the store. A record of None was deleted."""
         tracked = self.tracked.get(key)
         if member is None:
             if tracked is not None and tracked.is_listed:
                 tracked.record_gone_since_us = now_us
         elif tracked is None or member.generation > tracked.member.generation:
-            # A higher generation is a new incarnation: contacts missed by the old one say nothing of it.
+            # A higher generation means a new incarnation, to which failed health checks of the old one do not
+            # apply.
             self.tracked[key] = _TrackedMember(member, MemberStatus(MemberState.ALIVE, now_us))
         elif (
             member.generation == tracked.member.generation
             and member.incarnation == tracked.member.incarnation
         ):
             tracked.record_gone_since_us = None
-        # A lower generation is an old record that was read late.
+        # A record with a lower generation is out of date, and is ignored.
 
     def update_report(self, key: str, report: ReachabilityReport | None) -> None:
-        """Takes the report of the member under `key`; None where it went."""
+        """Stores the report of the member under `key`. A report of None was deleted."""
         if report is None:
             self.reports.pop(key, None)
         else:
             self.reports[key] = report
 
-    def record_contact(self, now_us: int, key: str, generation: int, succeeded: bool) -> None:
-        """Takes the end of a contact; one with another incarnation of the member does not count."""
+    def record_health_check(self, now_us: int, key: str, generation: int, succeeded: bool) -> None:
+        """Records the result of a health check. One of another incarnation of the member is ignored."""
         tracked = self.tracked.get(key)
         if tracked is None or tracked.member.generation != generation:
             return
         if succeeded:
-            tracked.missed_contacts = 0
+            tracked.failed_checks = 0
             return
-        if tracked.missed_contacts == 0:
-            tracked.missed_since_us = now_us
-        tracked.missed_contacts += 1
+        if tracked.failed_checks == 0:
+            tracked.failing_since_us = now_us
+        tracked.failed_checks += 1
 
-    def next_contact(self, now_us: int) -> MemberRecord | None:
-        """The member to contact now, if it is time for one."""
-        if now_us < self._next_contact_us:
+    def next_member_to_check(self, now_us: int) -> MemberRecord | None:
+        """Returns the member to check now, or None if no health check is due."""
+        if now_us < self._next_check_us:
             return None
-        self._next_contact_us = now_us + self.contact_interval_us
+        self._next_check_us = now_us + self.check_interval_us
         others = [
             key for key, tracked in self.tracked.items() if key != self.own_key and tracked.member.address
         ]
@@ -148,35 +161,35 @@
         return self.tracked[self._round.pop()].member
 
     def is_isolated(self) -> bool:
-        """Whether this process has lost most of the other members that the store lists."""
+        """Whether this process can't reach most of the other members that are listed in the store."""
         others = [
             tracked
             for tracked in self.tracked.values()
             if tracked.is_listed and tracked.member.address and tracked.member.key != self.own_key
         ]
-        lost_count = sum(tracked.misses_contacts for tracked in others)
+        lost_count = sum(tracked.is_failing_checks for tracked in others)
         return len(others) >= ISOLATED_MIN_OTHERS and 2 * lost_count > len(others)
 
     def build_report(self, now_us: int) -> ReachabilityReport:
-        """This process' own report."""
+        """Returns this process' own report."""
         unreachable = [
             key
             for key, tracked in self.tracked.items()
             if key != self.own_key
-            and tracked.misses_contacts
-            and now_us - tracked.missed_since_us >= self.lost_after_us
+            and tracked.is_failing_checks
+            and now_us - tracked.failing_since_us >= self.lost_after_us
         ]
         return ReachabilityReport(unreachable=tuple(sorted(unreachable)), is_isolated=self.is_isolated())
 
     def evaluate(self, now_us: int) -> Mapping[str, MemberStatus]:
-        """Every member's status; those that ended long ago are forgotten."""
-        reports = self._reports_that_count()
+        """Returns the status of every member, and removes members that ended long ago."""
+        reports = self._valid_reports()
         for key, tracked in list(self.tracked.items()):
             state = self._state(now_us, key, tracked, reports)
             if state is not tracked.status.state:
                 tracked.status = MemberStatus(state, now_us)
             lasted_us = now_us - tracked.status.since_us
-            if state is MemberState.ENDED and lasted_us > FORGET_AFTER_LOST_TIMES * self.lost_after_us:
+            if state is MemberState.ENDED and lasted_us > FORGET_AFTER_LOST_PERIODS * self.lost_after_us:
                 del self.tracked[key]
         return {key: tracked.status for key, tracked in self.tracked.items()}
 
@@ -185,7 +198,8 @@
         salt = f"{self.seed}:{self._rounds}"
         return sorted(keys, key=lambda key: zlib.crc32(f"{salt}:{key}".encode()))
 
-    def _reports_that_count(self) -> list[ReachabilityReport]:
+    def _valid_reports(self) -> list[ReachabilityReport]:
+        """Returns the reports of other members that are listed in the store and are not isolated."""
         return [
             report
             for key, report in self.reports.items()
@@ -199,16 +213,17 @@
         self, now_us: int, key: str, tracked: _TrackedMember, reports: list[ReachabilityReport]
     ) -> MemberState:
         if tracked.record_gone_since_us is not None:
-            # Its session may have ended by a pause alone: one that responds is suspected and has not ended.
-            responds = tracked.missed_contacts == 0 and tracked.member.address != ""
+            # The session may have ended only because the process was paused, so a member that still responds
+            # is suspected and does not count as ended.
+            responds = tracked.failed_checks == 0 and tracked.member.address != ""
             gone_for_us = now_us - tracked.record_gone_since_us
             has_ended = gone_for_us >= self.lost_after_us and not responds
             return MemberState.ENDED if has_ended else MemberState.SUSPECTED
-        is_lost = tracked.misses_contacts and now_us - tracked.missed_since_us >= self.lost_after_us
+        is_lost = tracked.is_failing_checks and now_us - tracked.failing_since_us >= self.lost_after_us
         reported = sum(key in report.unreachable for report in reports)
         is_confirmed = reported > 1 or (reported == 1 and is_lost)
         if 2 * reported > len(reports) and is_confirmed:
             return MemberState.UNREACHABLE_BY_MAJORITY
         if is_lost:
             return MemberState.UNREACHABLE_LOCALLY
-        return MemberState.SUSPECTED if tracked.misses_contacts else MemberState.ALIVE
+        return MemberState.SUSPECTED if tracked.is_failing_checks else MemberState.ALIVE
--- a/gradehoist/membership/service.py
+++ b/gradehoist/membership/service.py
@@ -216,7 +216,7 @@
             self._next_assessment_us = now_us + interval_us
             self._assess_members(self.members.evaluate(now_us))
             self._publish_reachability(self.members.build_report(now_us))
-        member = self.members.next_contact(now_us)
+        member = self.members.next_member_to_check(now_us)
         if member is not None:
             self._checker.start_check(member)
         for on_tick in self.tick_listeners:
@@ -267,4 +267,4 @@
         self._log("isolation_detected" if is_isolated else "isolation_ended", is_isolated)
 
     def _on_health_checked(self, member: MemberRecord, is_reached: bool) -> None:
-        self.members.record_contact(monotonic_us(), member.key, member.generation, is_reached)
+        self.members.record_health_check(monotonic_us(), member.key, member.generation, is_reached)
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -28,9 +28,7 @@
 
 def detector_of(count: int = 5) -> FailureDetector:
     """The detector of member 0 of a fleet."""
-    detector = FailureDetector(
-        key(0), lost_after_us=3 * SECOND_US, contact_interval_us=SECOND_US // 10, seed=1
-    )
+    detector = FailureDetector(key(0), lost_after_us=3 * SECOND_US, check_interval_us=SECOND_US // 10, seed=1)
     for number in range(count):
         detector.update_member(0, key(number), member(number))
     return detector
@@ -38,7 +36,7 @@
 
 def miss(detector: FailureDetector, now_us: int, *numbers: int) -> None:
     for number in numbers:
-        detector.record_contact(now_us, key(number), 1, succeeded=False)
+        detector.record_health_check(now_us, key(number), 1, succeeded=False)
 
 
 def state_of(detector: FailureDetector, now_us: int, number: int) -> MemberState:
@@ -61,7 +59,7 @@
     detector.update_report(key(3), ReachabilityReport((key(1),)))
     assert state_of(detector, 6 * SECOND_US, 1) is MemberState.UNREACHABLE_BY_MAJORITY
 
-    detector.record_contact(6 * SECOND_US, key(1), 1, succeeded=True)
+    detector.record_health_check(6 * SECOND_US, key(1), 1, succeeded=True)
     assert state_of(detector, 6 * SECOND_US, 1) is MemberState.UNREACHABLE_BY_MAJORITY
     detector.update_report(key(2), ReachabilityReport())
     assert state_of(detector, 6 * SECOND_US, 1) is MemberState.ALIVE
@@ -83,7 +81,7 @@
 
 def test_member_whose_record_went_is_suspected_first_and_has_not_ended_while_it_responds() -> None:
     detector = detector_of()
-    detector.record_contact(SECOND_US, key(1), 1, succeeded=True)
+    detector.record_health_check(SECOND_US, key(1), 1, succeeded=True)
     miss(detector, SECOND_US, 2)
     detector.update_member(SECOND_US, key(1), None)
     detector.update_member(SECOND_US, key(2), None)
@@ -104,7 +102,7 @@
     miss(detector, 6 * SECOND_US, 2)  # a contact with the older incarnation
 
     assert state_of(detector, 6 * SECOND_US, 2) is MemberState.ALIVE
-    assert detector.tracked[key(2)].missed_contacts == 0
+    assert detector.tracked[key(2)].failed_checks == 0
 
 
 @pytest.mark.parametrize("count", [3, 1_100])
@@ -113,11 +111,11 @@
     interval_us = SECOND_US // 10
     contacts = 2 * (count - 1)
 
-    contacted = [detector.next_contact(number * interval_us) for number in range(contacts)]
+    contacted = [detector.next_member_to_check(number * interval_us) for number in range(contacts)]
 
     names = [found.name for found in contacted if found is not None]
     assert sorted(names) == sorted(2 * [f"m{number}" for number in range(1, count)])
-    assert detector.next_contact((contacts - 1) * interval_us + 1) is None
+    assert detector.next_member_to_check((contacts - 1) * interval_us + 1) is None
 
 
 def test_report_keeps_its_encoded_names() -> None:
