--- a/gradehoist/coordination/notifications.py
+++ b/gradehoist/coordination/notifications.py
@@ -1,7 +1,7 @@
-"""What a participant tells its process: changes of its own standing, of the store, and of shared records.
+"""Notifications of a participant to its process: changes of its session, of the store and of shared records.
 
-The participant collects notifications in order; the process takes them after each step.
-`docs/coordination.md` explains to operators those that are logged.
+The participant collects notifications in order, and the process takes them after each step. Some of them are
+logged; `docs/coordination.md` explains those to operators.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class CommitOutcome(Enum):
-    """How a proposed commit ended."""
+    """The outcome of a proposed commit."""
 
     COMMITTED = "committed"
     REJECTED = "rejected"
@@ -30,21 +30,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionSuspended:
-    """The session was not renewed in time; whether it still lives is unknown."""
+    """The session was not renewed in time. Whether it has expired is unknown."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRestored:
-    """A suspended session turned out to live and was renewed."""
+    """A suspended session had not expired and was renewed."""
 
     session_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SessionEnded:
-    """The session is over; the records that belonged to it are gone or going."""
+    """The session ended. The store has deleted its records or is about to do so."""
 
     session_id: str
     reason: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSuperseded:
-    """Another incarnation owns a later generation of this process' name; this one does not join again."""
+    """Another incarnation owns a later generation of this process' name. This process does not join again."""
 
     incarnation: str
     generation: int
@@ -60,35 +60,38 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreConnectionLost:
-    """Requests to the store fail since now; `reason` is the first failure."""
+    """Requests to the store have begun to fail. `reason` is the first failure."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class StoreConnectionRestored:
-    """The store responds again; `reason` is the failure that began the outage."""
+    """The store responds again. `reason` is the first failure of the outage."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessFenced:
-    """The store contradicts what it said before: an older state, or another store. All held is given up."""
+    """The store contradicts its earlier responses: it was rolled back, or is another store.
+
+    The process gives up its session and everything that depends on it.
+    """
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class StoreCapacityExhausted:
-    """The store had no room for a commit; nothing was written."""
+    """The store has no space left for a commit. Nothing was written."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class RecordDecodeFailed:
-    """A record's bytes can't be decoded; it is passed over. Reported once for each key."""
+    """A record can't be decoded and is ignored. It is reported once for each key."""
 
     key: str
     reason: str
@@ -96,7 +99,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitSettled:
-    """A proposed commit ended; `revision` is the one that it made, or zero."""
+    """The outcome of a proposed commit is known or has been given up.
+
+    Attributes:
+        commit_id: Id of the commit.
+        outcome: How it ended.
+        revision: The revision of the store that the commit made, or zero.
+    """
 
     commit_id: str
     outcome: CommitOutcome
@@ -105,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsChanged:
-    """Records were written or deleted since the last such notification, one key for each change."""
+    """Records were written or deleted since the last such notification. Each change contributes its key."""
 
     keys: tuple[str, ...]
 
