--- a/gradehoist/coordination/participant.py
+++ b/gradehoist/coordination/participant.py
@@ -1,11 +1,11 @@
-"""One process' part in the fleet's coordination store: session, watch and writes together. Free of I/O.
+"""The client of the coordination store in one process: its session, watch and commits. Free of I/O.
 
-A participant is given the time and the results of its calls, and returns the calls to make next. Nothing that
-it holds proves anything: a session may have ended while the process stood still, and a cache is out of date
-the moment it is read. What must not happen twice is checked where the effect is taken (`fencing`); the
-participant only lets others know soon what they should do.
+A participant is passed the time and the results of its calls, and returns the calls to make next. Its state
+proves nothing: the session may have ended while the process was suspended, and the cache may be out of date
+at any time. Effects that must not happen twice are checked by fencing tokens where they are applied
+(`fencing`). The participant only makes sure that the processes soon learn what to do.
 
-It survives lost and late responses, stale reads, outages, and a store that was rolled back;
+It tolerates lost and late responses, stale reads, outages, and a store that was rolled back.
 `docs/coordination-design.md` lists what it does in each case.
 """
 
@@ -63,26 +63,32 @@
 from gradehoist.coordination.writes import CommitQueue
 
 IDLE_INTERVAL_US = 1_000_000
-"""How soon to look again where nothing is scheduled."""
+"""Time until the next check for due requests if none is scheduled."""
 
 RecordType = TypeVar("RecordType")
 
 
 class Participant:
-    """Takes part in a fleet for one process, which owns it and carries its calls out.
+    """Takes part in a fleet on behalf of one process, which owns it and performs its requests.
 
-    The process calls `take_due_requests` whenever `next_request_at_us` has come, carries each request out,
-    and passes its result to `handle_response` or `handle_failure`; after each step it takes
+    The process calls `take_due_requests` when the time `next_request_at_us` has come. It performs each
+    request and passes the result to `handle_response` or `handle_failure`. After each of these steps it calls
     `take_notifications`.
 
     Attributes:
-        identity: The process.
+        identity: The identity of the process.
         cache: All records below the store's prefix, as last read.
-        records: The cached records by type, and the generations known to have been issued.
+        records: Typed access to the cached records, and the generations known to have been issued.
     """
 
     def __init__(self, identity: ProcessIdentity, session_ttl_us: int, seed: int) -> None:
-        """Takes `seed` for the jitter of pauses; it is to differ between processes."""
+        """Creates a participant that has not joined.
+
+        Args:
+            identity: The identity of the process.
+            session_ttl_us: Lifetime of a session that is not renewed.
+            seed: Determines the jitter of backoff. It has to differ between processes.
+        """
         self.identity = identity
         self.cache = WatchCache("")
         self._notifications: list[Notification] = []
@@ -93,66 +99,67 @@
         self._backoff = Backoff(seed, session_ttl_us)
         self._calls = CallsInFlight()
         self._last_commit_number = 0
-        self._outage_reason = ""  # the failure that began the present outage; empty while the store responds
+        self._outage_reason = ""  # the first failure of the present outage; empty while the store responds
 
     # State
 
     @property
     def is_joined(self) -> bool:
-        """Whether the process may begin steps that need the fleet."""
+        """Whether the process has joined, and may begin steps that need coordination."""
         return self._session.is_joined
 
     @property
     def has_left(self) -> bool:
-        """Whether it left as planned and nothing is left to call."""
+        """Whether the process has left as planned and has no more requests."""
         return self._session.has_left
 
     @property
     def session_id(self) -> str:
-        """The session; empty while there is none."""
+        """The id of the session; empty while there is none."""
         return self._session.session_id
 
     @property
     def fencing_token(self) -> FencingToken:
-        """The generation of its name that the process owns; generation zero before it joined."""
+        """The token for the name of the process. Its generation is zero before the process has joined."""
         return self._session.fencing_token
 
     @property
     def has_pending_commits(self) -> bool:
-        """Whether a proposed commit has not ended."""
+        """Whether the outcome of a proposed commit is still open."""
         return bool(self._commits.pending)
 
     # Records
 
     def decode_record(self, key: str, record_type: type[RecordType]) -> RecordType | None:
-        """A cached record, or None where there is none or it can't be decoded."""
+        """Returns a cached record, or None if it does not exist or can't be decoded."""
         return self.records.decode(key, record_type)
 
     def build_put(self, key: str, value: Any, owned_by_session: bool = False) -> Put:
-        """A change that writes `value` if the record is still as cached.
+        """Returns a change that writes `value` if the record still has the cached version.
 
-        With `owned_by_session` the record goes with this process' session.
+        With `owned_by_session`, the store deletes the record when this process' session ends.
         """
         return self.records.build_put(key, value, self.session_id if owned_by_session else "")
 
     def propose(self, *changes: Change) -> str:
         """Queues a commit and returns its id.
 
-        A `CommitSettled` says how it ended. Raises RecordTooLargeError.
+        A `CommitSettled` notification reports its outcome. Raises RecordTooLargeError.
         """
         return self._commits.propose(changes)
 
     def next_generation(self, key: str) -> int:
-        """The lowest generation above all that are known for an ownership record."""
-        own = self.fencing_token.generation if key == self.identity.name_key else 0  # the cache may be behind
+        """Returns the lowest generation above all that are known for an ownership record."""
+        # The cache may not contain the generation that this process itself has joined with.
+        own = self.fencing_token.generation if key == self.identity.name_key else 0
         return self.records.next_generation(key, own)
 
     def leave(self) -> None:
-        """Begins a planned end: the session is ended, so that others need not wait for it to run out."""
+        """Begins a graceful shutdown, which ends the session so that others need not wait for its expiry."""
         self._session.leave()
 
     def take_notifications(self) -> list[Notification]:
-        """What was not taken yet, in order."""
+        """Removes and returns the notifications since the last call, in order."""
         taken = self._notifications
         self._notifications = []
         return taken
@@ -160,7 +167,7 @@
     # Requests
 
     def next_request_at_us(self, now_us: int) -> int:
-        """When `take_due_requests` may next have something."""
+        """Returns the time at which `take_due_requests` should be called next."""
         schedules = [caller.schedule for caller in self._active_callers()]
         times = [schedule.next_at_us for schedule in schedules if not schedule.in_flight]
         if self.is_joined:
@@ -168,7 +175,7 @@
         return min(times, default=now_us + IDLE_INTERVAL_US)
 
     def take_due_requests(self, now_us: int) -> list[StoreRequest]:
-        """The requests to carry out now; each is to be answered or failed by its id."""
+        """Returns the requests to perform now. The result of each has to be passed back with its id."""
         if self.is_joined and now_us >= self._session.valid_until_us:
             self._session.suspend(now_us, self._outage_reason or "the session was not renewed in time")
             self._watch.verify_history()
@@ -205,7 +212,7 @@
     # Responses
 
     def handle_response(self, now_us: int, request_id: int, response: Response) -> None:
-        """Takes the response to a request."""
+        """Handles the response to a request. That of an abandoned call is ignored."""
         call = self._calls.take(request_id)
         if call is None:
             return
@@ -220,9 +227,9 @@
             self._watch.needs_snapshot = True
         except StaleReadError as error:
             if self._watch.on_stale_read(now_us):
-                self._give_up_all(now_us, str(error))
+                self._reset_after_rollback(now_us, str(error))
         except StoreRolledBackError as error:
-            self._give_up_all(now_us, str(error))
+            self._reset_after_rollback(now_us, str(error))
 
     def _dispatch(self, now_us: int, call: Call, response: Response) -> None:
         match call.operation, response:
@@ -238,12 +245,14 @@
                 self._session.on_opened(now_us, session_id)
             case RenewSession(session_id), int() as revision:
                 if revision < call.known_revision:
-                    raise StaleReadError(f"revision {revision}, {call.known_revision} was known")
+                    raise StaleReadError(
+                        f"response of revision {revision}, although revision {call.known_revision} is known"
+                    )
                 self._session.on_renewed(session_id)
             case EndSession(), _:
                 self._session.on_left()
             case operation, _:
-                raise TypeError(f"{response!r} is no response to {operation!r}")
+                raise TypeError(f"{response!r} is not a valid response to {operation!r}")
 
     def _on_commit_response(self, now_us: int, caller: Caller, response: Committed | CommitRejected) -> None:
         if isinstance(caller, CommitQueue):
@@ -255,13 +264,13 @@
         self._restart_watch(now_us)
 
     def _restart_watch(self, now_us: int) -> None:
-        """Gives the watch in flight up for a full read."""
+        """Abandons the watch in flight and schedules a full read."""
         self._calls.abandon(self._watch)
         self._watch.schedule.next_at_us = now_us
         self._watch.needs_snapshot = True
 
     def _on_events(self, now_us: int, events: list[WatchEvent]) -> None:
-        """Takes changes of the cache: first what concerns the participant itself."""
+        """Handles changes of the cache, first those that concern the participant itself."""
         if not events:
             return
         self._commits.on_events(events)
@@ -271,7 +280,7 @@
         if self.identity.name_key in written:
             owner = self.records.decode(self.identity.name_key, OwnershipRecord)
             if owner is not None:
-                self._session.on_name_owner(owner)
+                self._session.on_name_owner_changed(owner)
         deleted = {event.key for event in events if event.record is None}
         if self.identity.member_key in deleted and self._session.owns_member_record():
             self._end_session(now_us, "its member record was deleted")
@@ -280,7 +289,7 @@
     # Failures
 
     def handle_failure(self, now_us: int, request_id: int, error: CoordinationError) -> None:
-        """Takes the failure of a request."""
+        """Handles the failure of a request. That of an abandoned call is ignored."""
         call = self._calls.take(request_id)
         if call is None:
             return
@@ -316,8 +325,11 @@
     def _end_session(self, now_us: int, reason: str) -> None:
         self._session.on_ended(now_us + self._backoff.delay_us(1), reason)
 
-    def _give_up_all(self, now_us: int, reason: str) -> None:
-        """The store was rolled back: nothing held counts any more; the known generations stand as floors."""
+    def _reset_after_rollback(self, now_us: int, reason: str) -> None:
+        """Gives up the session, the cache and all calls, as the store was rolled back.
+
+        The known generations are kept as floors, so that none of them is issued again.
+        """
         self.records.raise_floors_from_owners()
         self._notify(ProcessFenced(reason))
         keys = tuple(self.cache.records)
@@ -328,7 +340,8 @@
         self._commits.abandon(commits_at_us)
         self._watch.reset(watch_at_us)
         self._session.reset(session_at_us)
-        self._notify(RecordsChanged(keys))  # gone, until it is read that they are there
+        # No record is known to exist until the store has been read again.
+        self._notify(RecordsChanged(keys))
 
     def _notify(self, notification: Notification) -> None:
         self._notifications.append(notification)
--- a/gradehoist/coordination/session.py
+++ b/gradehoist/coordination/session.py
@@ -153,7 +153,7 @@
         self._notify(FleetJoined(self.fencing_token.generation, self.session_id))
         return True
 
-    def on_name_owner(self, owner: OwnershipRecord) -> None:
+    def on_name_owner_changed(self, owner: OwnershipRecord) -> None:
         """The record of its name changed; a later generation of another incarnation supersedes this one."""
         if owner.holder == self.identity.incarnation:
             return
