--- a/gradehoist/coordination/records.py
+++ b/gradehoist/coordination/records.py
@@ -1,8 +1,8 @@
-"""The records that processes share through the coordination store, and the identity of one process.
+"""The records that processes share through the coordination store, and the identity of a process.
 
-Only the form of the records is defined here; `cached_records` reads and builds them. The encoded field names
-are stored data and shared with processes of other versions: where a field is named otherwise here, its
-encoded name is pinned.
+This module only defines the form of the records; `cached_records` reads and builds them. The encoded field
+names are stored, and are read by processes of other versions. A field whose encoded name differs from its
+name here has an explicit `name`.
 """
 
 from __future__ import annotations
@@ -17,19 +17,20 @@
 NAMES_PREFIX = "names/"
 ELECTIONS_PREFIX = "rights/"
 GENERATION_FLOORS_KEY = "floors"
-"""Key of the record of generations that may not be issued again, by the key of their ownership record."""
+"""Key of the record of the highest generations issued, by the key of their ownership record. Neither these
+nor lower generations may be issued again."""
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """What a process publishes of itself; the record belongs to its session and goes with it.
+    """Describes a running process. The record belongs to the process' session and is deleted when that ends.
 
     Attributes:
-        role: What kind of process it is, such as `governor`.
-        name: Its configured name, unique within the role.
-        zone: The zone it runs in.
-        incarnation: Names one run of the process; never used again for another.
-        generation: The generation of its name that this incarnation owns.
-        address: `host:port` at which it answers contacts; empty for a process that takes none.
+        role: The kind of process, such as `governor`.
+        name: The configured name of the process, unique within the role.
+        zone: The zone in which the process runs.
+        incarnation: Identifies one run of the process. It is never reused.
+        generation: Generation of the ownership of the process' name.
+        address: `host:port` at which the process answers health checks; empty if it does not.
     """
 
     role: str
@@ -41,20 +42,20 @@
 
     @property
     def key(self) -> str:
-        """The key of this record in the store."""
+        """Key of this record in the store."""
         return f"{MEMBERS_PREFIX}{self.role}/{self.name}"
 
 
 class OwnershipRecord(msgspec.Struct, frozen=True):
-    """Who owns a process name, or leads in what one process alone may do.
+    """The owner of a process name, or the leader of an election.
 
-    It is never deleted, or its generations would begin again at one and tokens already used would be issued
-    twice.
+    The record is never deleted. If it were, its generations would start at one again, and fencing tokens
+    would be issued a second time.
 
     Attributes:
-        generation: Grows with every change of owner.
-        holder: The incarnation that owns it.
-        member_key: Key of the holder's member record; empty where it has none.
+        generation: Grows with every change of the owner.
+        holder: Incarnation of the owner.
+        member_key: Key of the owner's member record; empty if it has none.
     """
 
     generation: int = msgspec.field(name="gen")
@@ -63,13 +64,13 @@
 
     @property
     def fencing_token(self) -> FencingToken:
-        """The token under which the holder acts."""
+        """The holder's fencing token."""
         return FencingToken(self.generation, self.holder)
 
 
 @dataclass(frozen=True)
 class ProcessIdentity:
-    """Who a process is; the fields are those of its `MemberRecord`."""
+    """The identity of a process. The fields are those of its `MemberRecord`."""
 
     role: str
     name: str
--- a/gradehoist/coordination/requests.py
+++ b/gradehoist/coordination/requests.py
@@ -1,7 +1,7 @@
-"""Requests that a participant makes of the coordination store, and what answers them.
+"""Requests of a participant to the coordination store, and their responses.
 
-Each operation corresponds to one method of `CoordinationStore`; the caller that carries a request out
-performs that method and returns the result to the participant.
+Each operation corresponds to one method of `CoordinationStore`. The process that owns the participant calls
+that method and passes the result back to the participant.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRecords:
-    """Read all records below `prefix`; answered by a `StoreSnapshot`."""
+    """Reads all records below `prefix`. The response is a `StoreSnapshot`."""
 
     prefix: str
 
 
 @dataclass(frozen=True, slots=True)
 class CommitChanges:
-    """Apply `changes` as one commit; answered by `Committed` or `CommitRejected`."""
+    """Applies `changes` as one commit. The response is `Committed` or `CommitRejected`."""
 
     changes: tuple[Change, ...]
     commit_id: str
@@ -38,28 +38,28 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenSession:
-    """Open a session that lives for `ttl_us` unless it is renewed; answered by its id."""
+    """Opens a session that expires after `ttl_us` unless it is renewed. The response is its id."""
 
     ttl_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class RenewSession:
-    """Keep a session alive; answered by the store's revision."""
+    """Renews a session. The response is the store's revision."""
 
     session_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndSession:
-    """End a session and delete its records; answered by None."""
+    """Ends a session and deletes its records. The response is None."""
 
     session_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchChanges:
-    """Wait up to `wait_us` for changes below `prefix` after a revision; answered by a `WatchBatch`."""
+    """Waits up to `wait_us` for changes below `prefix` after a revision. The response is a `WatchBatch`."""
 
     prefix: str
     after_revision: int
@@ -69,17 +69,17 @@
 Operation = ReadRecords | CommitChanges | OpenSession | RenewSession | EndSession | WatchChanges
 Response = StoreSnapshot | Committed | CommitRejected | WatchBatch | str | int | None
 
-OPERATIONS_THAT_WRITE = (CommitChanges, OpenSession, EndSession)
-"""Operations that may have taken place although no response came."""
+WRITE_OPERATIONS = (CommitChanges, OpenSession, EndSession)
+"""Operations that may have had an effect although no response was received."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRequest:
-    """A request to carry out now.
+    """A request to be performed now.
 
     Attributes:
-        request_id: Under which the response or the failure is handed back.
-        operation: What to do.
+        request_id: Id with which the result is passed back to the participant.
+        operation: The operation to perform.
         timeout_us: How long to wait for the response.
     """
 
@@ -89,14 +89,14 @@
 
 
 def failure_without_response(operation: Operation, reason: str) -> CoordinationError:
-    """The error that states what is known of an operation to which no valid response came."""
-    if isinstance(operation, OPERATIONS_THAT_WRITE):
+    """Returns the error for an operation without a valid response: the outcome of a write is unknown."""
+    if isinstance(operation, WRITE_OPERATIONS):
         return OutcomeUnknownError(reason)
     return StoreUnavailableError(reason)
 
 
 async def perform(store: CoordinationStore, operation: Operation) -> Response:
-    """Performs an operation on a store. Raises what the store's method raises."""
+    """Performs an operation on a store. Raises the errors of the store's method."""
     match operation:
         case ReadRecords(prefix):
             return await store.read(prefix)
