--- a/gradehoist/coordination/session.py
+++ b/gradehoist/coordination/session.py
@@ -1,8 +1,9 @@
-"""The session of one process with the store, and the membership that rests on it. Free of I/O.
+"""The session of one process with the coordination store, and its membership in the fleet. Free of I/O.
 
-The process opens a session, joins by one commit (the next generation of its name, its member record, floors
-that the store lacks), and renews the session while it lives. A session that could not be renewed in time is
-suspended and not given up: once the store responds, it is renewed if it still lives.
+The process opens a session, joins the fleet by one commit, and renews the session while it runs. The commit
+writes the next generation of the process' name, its member record, and the generation floors that the store
+lacks. A session that could not be renewed in time is suspended, but not given up: when the store responds
+again, the session is renewed if it has not expired.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
 from gradehoist.coordination.store import Change, CommitRejected, Committed
 
 RENEWALS_PER_TTL = 3
-"""Renewals in a session's lifetime: two may fail before it ends."""
+"""Number of renewals within a session's lifetime. Two in a row may fail before the session ends."""
 
 LEAVE_RETRY_US = 1_000_000
-"""Pause between looks of a process that leaves, while its last request is in flight."""
+"""Time between two attempts of a process that leaves to end its session."""
 
 
 @dataclass(frozen=True)
@@ -39,15 +40,19 @@
 
 
 class Session:
-    """One process' session. Owned by a `Participant`, which routes responses to it.
+    """The session of one process. A `Participant` owns it and passes responses to it.
 
     Attributes:
-        session_id: The session; empty while there is none.
-        valid_until_us: Until when the session certainly lives, by this process' clock.
-        fencing_token: The generation of its name that the process owns; generation zero before it joined.
-        is_joined: Whether it may begin steps that need the fleet.
-        is_superseded: Whether another incarnation took its name over.
-        is_stopping: Whether it leaves as planned.
+        identity: The identity of the process.
+        ttl_us: Lifetime of a session that is not renewed.
+        schedule: When the next call is made.
+        session_id: The id of the session; empty while there is none.
+        valid_until_us: Time by this process' clock until which the session can't have expired.
+        fencing_token: The token for the name of the process. Its generation is zero before the process has
+            joined.
+        is_joined: Whether the process has joined, and may begin steps that need coordination.
+        is_superseded: Whether another incarnation has taken over the name of the process.
+        is_stopping: Whether the process is leaving as planned.
     """
 
     def __init__(
@@ -58,7 +63,15 @@
         new_commit: Callable[[tuple[Change, ...]], CommitChanges],
         notify: Callable[[Notification], None],
     ) -> None:
-        """Takes `new_commit`, which gives changes an id; `notify` hears what becomes of the session."""
+        """Creates the session of a process that has not joined.
+
+        Args:
+            identity: The identity of the process.
+            ttl_us: Lifetime of a session that is not renewed.
+            records: The cached records.
+            new_commit: Assigns an id to the changes of a commit.
+            notify: Called with each change of the session.
+        """
         self.identity = identity
         self.ttl_us = ttl_us
         self.schedule = CallSchedule()
@@ -76,17 +89,18 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether it left as planned and nothing is left to call."""
+        """Whether the process has left as planned and has no more calls to make."""
         return self.is_stopping and not self.session_id
 
     def next_operation(
         self, now_us: int, watch_is_ready: bool
     ) -> OpenSession | RenewSession | EndSession | CommitChanges | None:
-        """The call to make next, if there is one now."""
+        """Returns the call to make now, or None if there is none."""
         if self.is_stopping:
             self.schedule.next_at_us = now_us + LEAVE_RETRY_US
             return EndSession(self.session_id) if self.session_id else None
-        if not watch_is_ready:  # names and floors are read before anything is claimed
+        if not watch_is_ready:
+            # Owners of names and generation floors have to be read before a generation is claimed.
             self.schedule.next_at_us = now_us + FIRST_BACKOFF_US
             return None
         if not self.session_id:
@@ -98,28 +112,29 @@
         return self._joining.commit
 
     def leave(self) -> None:
-        """Ends the session at the next call, so that others need not wait for it to run out."""
+        """Schedules the end of the session, so that others need not wait for its expiry."""
         self.is_stopping = True
         self.schedule.next_at_us = 0
 
     def suspend(self, now_us: int, reason: str) -> None:
-        """The session was not renewed in time; the next call finds out whether it lives."""
+        """Suspends a session that was not renewed in time. The next call shows whether it has expired."""
         self._notify(SessionSuspended(reason))
         self.is_joined = False
         self.schedule.next_at_us = min(self.schedule.next_at_us, now_us)
 
     def on_opened(self, now_us: int, session_id: str) -> None:
-        """A new session; the process joins with it at once."""
+        """Handles a new session. The process joins with it at once."""
         self.session_id = session_id
         self.valid_until_us = self.schedule.sent_at_us + self.ttl_us
         self._joining = None
         self.schedule.next_at_us = now_us
 
     def on_renewed(self, session_id: str) -> None:
-        """The session lives on."""
+        """Handles a renewal of the session."""
         if session_id != self.session_id:
             return
-        # From when the request was sent: counted from the response, it would seem to live when it has ended.
+        # The lifetime is counted from the time at which the request was sent. Counted from the response, the
+        # session would still seem valid here when it has already expired in the store.
         self.valid_until_us = self.schedule.sent_at_us + self.ttl_us
         self.schedule.next_at_us = self.schedule.sent_at_us + self.ttl_us // RENEWALS_PER_TTL
         if not self.is_joined:
@@ -127,24 +142,25 @@
             self._notify(SessionRestored(self.session_id))
 
     def on_left(self) -> None:
-        """The session was ended as planned."""
+        """Handles the planned end of the session."""
         self.session_id = ""
         self.is_joined = False
 
     def on_leave_failed(self) -> None:
-        """The session could not be ended; it runs out by itself."""
+        """Gives up a session that could not be ended as planned. It will expire."""
         self.session_id = ""
 
     def on_join_response(self, now_us: int, response: Committed | CommitRejected) -> bool:
-        """Takes the response to the joining commit.
+        """Handles the response to the commit that joins the fleet.
 
-        Returns False where it was rejected by another's record: the cache is behind, or the name has gone on.
+        Returns False if it was rejected because of a record that another process wrote. The cache is then out
+        of date, or another process has claimed the name.
         """
         attempt = self._joining
         self._joining = None
         if attempt is None:
             return True
-        if isinstance(response, CommitRejected) and not _wrote_any(attempt.commit, response):
+        if isinstance(response, CommitRejected) and not _was_committed_before(attempt.commit, response):
             return False
         self.fencing_token = FencingToken(attempt.generation, self.identity.incarnation)
         self.is_joined = True
@@ -154,7 +170,10 @@
         return True
 
     def on_name_owner_changed(self, owner: OwnershipRecord) -> None:
-        """The record of its name changed; a later generation of another incarnation supersedes this one."""
+        """Handles a change of the ownership of the process' name.
+
+        A later generation of another incarnation supersedes this process.
+        """
         if owner.holder == self.identity.incarnation:
             return
         if not owner.generation > self.fencing_token.generation > 0:
@@ -165,29 +184,29 @@
         self.is_joined = False
 
     def owns_member_record(self) -> bool:
-        """Whether the member record was written in the present session."""
+        """Whether the member record belongs to the present session."""
         return self.session_id != "" and self._member_session_id == self.session_id
 
     def on_ended(self, next_at_us: int, reason: str) -> None:
-        """The session is over; a new one is opened at `next_at_us`."""
+        """Handles the end of the session. A new one is opened at `next_at_us`."""
         if self.session_id:
             self._notify(SessionEnded(self.session_id, reason))
-        self._forget()
+        self._clear()
         self.schedule.next_at_us = next_at_us
 
     def reset(self, next_at_us: int) -> None:
-        """Gives the session up without a notification, after the store was rolled back."""
-        self._forget()
+        """Gives up the session after the store was rolled back, without a notification."""
+        self._clear()
         self.schedule.restart(next_at_us)
 
-    def _forget(self) -> None:
+    def _clear(self) -> None:
         self.session_id = ""
         self.is_joined = False
         self._joining = None
         self._member_session_id = ""
 
     def _build_join(self) -> _JoinAttempt:
-        """One commit: the name's next generation, the member record, floors that the store lacks."""
+        """Returns the commit that joins the fleet: name, member record and missing floors."""
         identity = self.identity
         generation = self._records.next_generation(identity.name_key, self.fencing_token.generation)
         owner = OwnershipRecord(
@@ -211,6 +230,6 @@
         return _JoinAttempt(self._new_commit(tuple(changes)), generation)
 
 
-def _wrote_any(commit: CommitChanges, rejection: CommitRejected) -> bool:
-    """Whether a record that rejected a commit was written by an earlier attempt of it."""
+def _was_committed_before(commit: CommitChanges, rejection: CommitRejected) -> bool:
+    """Whether a commit was rejected because an earlier attempt of the same commit was committed."""
     return any(record.commit_id == commit.commit_id for record in rejection.records)
