--- a/gradehoist/coordination/store.py
+++ b/gradehoist/coordination/store.py
@@ -1,9 +1,9 @@
-"""The coordination store as its users see it: small records, each with a version, under slash-separated keys.
+"""The interface of the coordination store, which holds small versioned records under slash-separated keys.
 
-A record's version is the store's revision at the record's last change; revisions only grow. A commit is
-applied as a whole or not at all, each change against the version that it expects. A record may belong to a
-session and goes with it. Backends (a folder of one machine, an etcd cluster) implement `CoordinationStore`;
-the errors that they raise say what is known of the outcome, which is never guessed.
+A record's version is the revision of the store at the record's last change. Revisions only grow. A commit is
+applied atomically, if each of its changes finds the version that it expects. A record that belongs to a
+session is deleted when the session ends. The backends (a folder of one machine, an etcd cluster) implement
+`CoordinationStore`. The errors that they raise state exactly what is known about the outcome of a call.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from typing import NamedTuple, Protocol
 
 MAX_KEY_CHARACTERS = 256
-"""Names of members and partitions are far shorter."""
+"""Longest key. The names of members and partitions are far shorter."""
 
 MAX_VALUE_BYTES = 262_144
-"""Quotas of 1,024 members, the largest record there is, take half of it."""
+"""Largest value. The quota allocation of 1,024 members, which is the largest record, needs half of this."""
 
 
 class Record(NamedTuple):
     """A record as the store holds it.
 
     Attributes:
-        key: Under which it is stored.
-        value: Its bytes; empty for a malformed one.
-        version: The store's revision at its last change.
-        commit_id: Names the commit that wrote it, so that a writer recognizes its own.
-        session_id: The session that it goes with; empty for one that stays.
-        malformed: Whether the stored bytes are not a record of this program.
+        key: Key under which it is stored.
+        value: Its value in bytes; empty if the record is malformed.
+        version: Revision of the store at its last change.
+        commit_id: Id of the commit that wrote it, by which the writer recognizes its own commit.
+        session_id: The session that it belongs to; empty if it belongs to none.
+        malformed: Whether the stored bytes do not have the form of a record.
     """
 
     key: str
@@ -38,7 +38,7 @@
 
 
 class Put(NamedTuple):
-    """Writes a record if its version is `expected_version`; zero is for one that must not exist."""
+    """Writes a record if its version is `expected_version`. Zero means that it must not exist."""
 
     key: str
     value: bytes
@@ -63,9 +63,11 @@
 
 
 class CommitRejected(NamedTuple):
-    """A version was not the expected one; nothing was written.
+    """A commit was rejected because a version was not the expected one. Nothing was written.
 
-    `records` are the current ones under the keys of the changes; a key without one does not exist.
+    Attributes:
+        revision: Revision of the store.
+        records: The current records under the keys of the commit. Keys without a record are missing.
     """
 
     revision: int
@@ -73,7 +75,7 @@
 
 
 class WatchEvent(NamedTuple):
-    """A change made at `revision`; `record` is None where it was deleted."""
+    """A change of a record, made at `revision`. `record` is None if it was deleted."""
 
     key: str
     revision: int
@@ -81,7 +83,7 @@
 
 
 class StoreSnapshot(NamedTuple):
-    """All records below a prefix as of `revision`; `store_id` names the store, where the backend can."""
+    """All records below a prefix at `revision`. `store_id` identifies the store, where supported."""
 
     store_id: str
     revision: int
@@ -89,7 +91,7 @@
 
 
 class WatchBatch(NamedTuple):
-    """Every change below a prefix after `after_revision` up to `revision`; none where the wait ran out."""
+    """All changes below a prefix after `after_revision` up to `revision`; none if the wait timed out."""
 
     store_id: str
     after_revision: int
@@ -98,31 +100,31 @@
 
 
 class CoordinationError(Exception):
-    """Base error of the package. A call that raises it had no effect unless the class says otherwise."""
+    """Base class of the package's errors. The call had no effect unless the class says otherwise."""
 
 
 class StoreUnavailableError(CoordinationError):
-    """The store can't be reached or does not serve requests now; nothing was written."""
+    """The store can't be reached or does not serve requests at present. Nothing was written."""
 
 
 class OutcomeUnknownError(CoordinationError):
-    """The call may have taken place, may still do so, or never will."""
+    """The call may have taken effect, may still take effect, or never will."""
 
 
 class StoreFullError(CoordinationError):
-    """The store has no room; nothing was written."""
+    """The store has no space left. Nothing was written."""
 
 
 class RecordTooLargeError(CoordinationError):
-    """A key or value exceeds the limits of this module: an error of the caller."""
+    """A key or value exceeds the limits of this module, which is an error of the caller."""
 
 
 class SessionEndedError(CoordinationError):
-    """The session that the call names has ended; its records are gone or going."""
+    """The session of the call has ended. The store has deleted its records or is about to do so."""
 
 
 class HistoryCompactedError(CoordinationError):
-    """The changes asked for are no longer kept; the records are to be read in full."""
+    """The store no longer has the requested changes, so the records have to be read in full."""
 
 
 class CoordinationStore(Protocol):
@@ -133,31 +135,38 @@
     """
 
     async def read(self, prefix: str) -> StoreSnapshot:
-        """Reads as of now: no answer is older than a commit that ended before the call."""
+        """Reads all records below `prefix`. The result contains every commit completed before the call."""
 
     async def commit(self, changes: tuple[Change, ...], commit_id: str) -> Committed | CommitRejected:
-        """Applies all changes or none. Raises SessionEndedError, StoreFullError, RecordTooLargeError."""
+        """Applies all changes or none.
+
+        Raises SessionEndedError, StoreFullError, RecordTooLargeError.
+        """
 
     async def open_session(self, ttl_us: int) -> str:
-        """Opens a session that ends unless it is renewed within `ttl_us`; returns its id."""
+        """Opens a session that expires unless it is renewed within `ttl_us`; returns its id."""
 
     async def renew_session(self, session_id: str) -> int:
         """Renews a session; returns the store's revision. Raises SessionEndedError."""
 
     async def end_session(self, session_id: str) -> None:
-        """Ends a session and deletes its records; one that has ended already is none."""
+        """Ends a session and deletes its records. Ending a session that has ended already is no error."""
 
     async def watch(self, prefix: str, after_revision: int, wait_us: int) -> WatchBatch:
-        """Waits up to `wait_us` for a change. Raises HistoryCompactedError."""
+        """Waits up to `wait_us` for changes after a revision. Raises HistoryCompactedError."""
 
     async def close(self) -> None:
         """Releases connections and threads."""
 
 
 def check_sizes(changes: tuple[Change, ...]) -> None:
-    """Raises RecordTooLargeError for a change that one backend would accept and another not."""
+    """Raises RecordTooLargeError for a change that only some backends would accept."""
     for change in changes:
         if not 0 < len(change.key) <= MAX_KEY_CHARACTERS:
-            raise RecordTooLargeError(f"key of {len(change.key)} characters, {MAX_KEY_CHARACTERS} at most")
+            raise RecordTooLargeError(
+                f"key has {len(change.key)} characters; {MAX_KEY_CHARACTERS} at most are allowed"
+            )
         if isinstance(change, Put) and len(change.value) > MAX_VALUE_BYTES:
-            raise RecordTooLargeError(f"{change.key}: {len(change.value)} bytes, {MAX_VALUE_BYTES} at most")
+            raise RecordTooLargeError(
+                f"value of {change.key} has {len(change.value)} bytes; {MAX_VALUE_BYTES} at most are allowed"
+            )
