--- a/gradehoist/coordination/watch.py
+++ b/gradehoist/coordination/watch.py
@@ -1,10 +1,12 @@
-"""Follows the store's changes: one full read, then one watch after the other. Free of I/O.
+"""Follows the changes of the store by one full read, and then one watch after the other. Free of I/O.
 
-It decides whether the store was rolled back. A response older than what is known may be a stale read of a
-lagging replica, so only several of them over some time count as a rollback; a response that contradicts what
-was read before is a rollback at once. A store that was rolled back and then written past the known revision
-shows by neither, so after each failure the watch begins one change early and the store has to repeat the
-change read last.
+This module also detects that the store was rolled back to an earlier state:
+
+- A response that contradicts an earlier one is a rollback at once.
+- A response with a lower revision than the known one may be a stale read from a lagging replica of the store.
+  It counts as a rollback only if it is repeated over some time.
+- A store that was rolled back and then written past the known revision shows neither sign. After each failure
+  the next watch therefore begins before the last known change, which the store has to repeat.
 """
 
 from __future__ import annotations
@@ -15,40 +17,46 @@
 from gradehoist.coordination.watch_cache import WatchCache
 
 WATCH_WAIT_US = 5_000_000
-"""How long a watch waits for a change: short enough to notice a dead connection."""
+"""How long a watch waits for a change. It is short enough to detect a dead connection."""
 
 WATCH_INTERVAL_US = 20_000
-"""Changes of so long come as one batch; a tenth of what a person notices."""
+"""Time from a response to the next watch, so that changes within it arrive as one batch. It is a tenth of a
+delay that people notice."""
 
 ROLLBACK_STALE_READS = 3
-ROLLBACK_SUSPICION_US = 1_000_000
-"""So many stale reads in a row over so long are a store that was rolled back: a lagging replica catches up
-in far less. A wrong verdict costs one joining, as fencing tokens hold all the same."""
+ROLLBACK_CONFIRMATION_US = 1_000_000
+"""This number of stale reads in a row, over this time, counts as a rollback. A lagging replica of the store
+catches up in far less time. If it is wrong, the process has to join once more; fencing tokens remain
+valid."""
 
 
 class Watch:
-    """Keeps a `WatchCache` up to date. Owned by a `Participant`, which routes responses to it.
+    """Keeps a `WatchCache` up to date. A `Participant` owns it and passes responses to it.
 
-    `needs_snapshot` says that the cache can't go on from where it is and is read in full next.
+    Attributes:
+        cache: The cache.
+        schedule: When the next call is made.
+        needs_snapshot: Whether the next call has to be a full read, because a watch can't continue from the
+            cache.
     """
 
     def __init__(self, cache: WatchCache) -> None:
-        """Updates `cache`."""
+        """Creates a watch that updates `cache`."""
         self.cache = cache
         self.schedule = CallSchedule()
         self.needs_snapshot = True
         self._verify_next = False
-        self._verifying = False  # whether the watch in flight began with the change read last
+        self._verifying = False  # whether the watch in flight has to repeat the last known change
         self._stale_reads = 0
         self._stale_since_us = 0
 
     @property
     def is_ready(self) -> bool:
-        """Whether the cache holds the store's records, none of them known to be missing."""
+        """Whether the cache has been loaded and is not known to lack changes."""
         return self.cache.is_loaded and not self.needs_snapshot
 
     def next_operation(self) -> ReadRecords | WatchChanges:
-        """The call to make next."""
+        """Returns the call to make next."""
         if self.needs_snapshot:
             return ReadRecords(self.cache.prefix)
         self._verifying = self._verify_next
@@ -56,7 +64,7 @@
         return WatchChanges(prefix=self.cache.prefix, after_revision=after_revision, wait_us=WATCH_WAIT_US)
 
     def on_snapshot(self, snapshot: StoreSnapshot) -> list[WatchEvent]:
-        """Takes a full read; returns what it changed. Raises StaleReadError, StoreRolledBackError."""
+        """Applies a full read and returns the changes. Raises StaleReadError, StoreRolledBackError."""
         events = self.cache.load_snapshot(snapshot)
         self.needs_snapshot = False
         self._verify_next = False
@@ -64,21 +72,22 @@
         return events
 
     def on_batch(self, now_us: int, batch: WatchBatch) -> list[WatchEvent]:
-        """Takes a watch's changes; returns the new ones.
+        """Applies the changes of a watch and returns the new ones.
 
         Raises RevisionGapError, StaleReadError, StoreRolledBackError.
         """
         events = self.cache.apply_batch(batch)
         self._stale_reads = 0
         self.schedule.next_at_us = now_us + WATCH_INTERVAL_US
-        if self._verifying:  # a watch sent before the failure verifies nothing
+        # A watch that was sent before the failure does not verify anything.
+        if self._verifying:
             self._verify_next = False
         return events
 
     def on_stale_read(self, now_us: int) -> bool:
-        """Schedules a full read.
+        """Handles a stale response by scheduling a full read.
 
-        Returns whether so many responses were stale that the store must have been rolled back.
+        Returns whether the stale responses so far mean that the store was rolled back.
         """
         if self._stale_reads == 0:
             self._stale_since_us = now_us
@@ -86,19 +95,19 @@
         self.needs_snapshot = True
         self.schedule.next_at_us = now_us + FIRST_BACKOFF_US
         lasted_us = now_us - self._stale_since_us
-        return self._stale_reads >= ROLLBACK_STALE_READS and lasted_us >= ROLLBACK_SUSPICION_US
+        return self._stale_reads >= ROLLBACK_STALE_READS and lasted_us >= ROLLBACK_CONFIRMATION_US
 
     def on_history_compacted(self, now_us: int) -> None:
-        """The changes to go on from are no longer kept: the records are read in full, now."""
+        """Schedules a full read at once, because the store no longer has the changes to continue from."""
         self.needs_snapshot = True
         self.schedule.restart(now_us)
 
     def verify_history(self) -> None:
-        """Lets the next watch begin with the change read last, which the store then has to repeat."""
+        """Makes the next watch begin before the last known change, which the store then has to repeat."""
         self._verify_next = True
 
     def reset(self, next_at_us: int) -> None:
-        """Forgets all that was read and begins again with a full read."""
+        """Clears the cache and schedules a full read."""
         self.cache.clear()
         self.schedule.restart(next_at_us)
         self.needs_snapshot = True
--- a/gradehoist/coordination/watch_cache.py
+++ b/gradehoist/coordination/watch_cache.py
@@ -1,8 +1,7 @@
-"""A process' copy of all records below a prefix, built from one full read and a watch. Free of I/O.
+"""A process' copy of all records below a prefix, built from a full read and a watch. Free of I/O.
 
-The cache applies each change once, however often the watch repeats it. It raises an error where changes are
-missing, where a response is out of date, and where the store contradicts what it said before; what follows
-from that is decided by `watch`.
+The cache applies each change once, even if the watch repeats it. It raises an error if changes are missing,
+if a response is out of date, or if the store contradicts its earlier responses. `watch` handles these errors.
 """
 
 from __future__ import annotations
@@ -17,38 +16,40 @@
 
 
 class WatchCacheError(CoordinationError):
-    """A response of the store that the cache can't apply."""
+    """Base class: the cache can't apply a response of the store."""
 
 
 class RevisionGapError(WatchCacheError):
-    """Changes are missing between the cache and a batch: the records are to be read in full."""
+    """Changes are missing between the cache and a batch, so the records have to be read in full."""
 
 
 class StaleReadError(WatchCacheError):
-    """A response is older than what is known: a stale read, or a store that was rolled back."""
+    """A response is older than the cache: it is a stale read, or the store was rolled back."""
 
 
 class StoreRolledBackError(WatchCacheError):
-    """The store contradicts what it said before; the text says where."""
+    """The store contradicts its earlier responses."""
 
 
 class WatchCache:
     """All records below `prefix` as of `revision`.
 
     Attributes:
-        store_id: Names the store that was read, where it can tell.
-        records: By key.
-        is_loaded: Whether a full read was taken.
-        last_events: All changes of the newest revision that the watch showed.
+        prefix: Prefix of the keys of all records.
+        store_id: Identifies the store that was read; empty if the backend does not support that.
+        revision: Revision of the store up to which the cache contains all changes.
+        records: The records by key.
+        is_loaded: Whether a full read was applied.
+        last_events: All changes of the newest revision that a watch delivered.
     """
 
     def __init__(self, prefix: str) -> None:
-        """Begins empty, without a store."""
+        """Creates an empty cache."""
         self.prefix = prefix
         self.clear()
 
     def clear(self) -> None:
-        """Forgets all that was read, and the store that it was read from."""
+        """Removes all records, and forgets which store they were read from."""
         self.store_id = ""
         self.revision = 0
         self.records: dict[str, Record] = {}
@@ -56,10 +57,12 @@
         self.last_events: list[WatchEvent] = []
 
     def load_snapshot(self, snapshot: StoreSnapshot) -> list[WatchEvent]:
-        """Takes a full read; returns what it changed. Raises StaleReadError, StoreRolledBackError."""
+        """Applies a full read and returns the changes. Raises StaleReadError, StoreRolledBackError."""
         self._check_store(snapshot.store_id)
         if self.is_loaded and snapshot.revision < self.revision:
-            raise StaleReadError(f"revision {snapshot.revision}, {self.revision} is known")
+            raise StaleReadError(
+                f"full read of revision {snapshot.revision}, although revision {self.revision} is known"
+            )
         found = {record.key: record for record in snapshot.records}
         self._check_versions(found)
         events = [
@@ -79,22 +82,27 @@
 
     @property
     def verification_revision(self) -> int:
-        """Where to watch from so that the store has to repeat the changes read last.
+        """The revision after which a watch has to begin for the store to repeat the last known changes.
 
-        A store that was rolled back and then written further shows in no revision, but it can't repeat them.
+        A store that was rolled back and then written again can have a higher revision than the known one, but
+        it can't repeat these changes.
         """
         return self.last_events[0].revision - 1 if self.last_events else self.revision
 
     def apply_batch(self, batch: WatchBatch) -> list[WatchEvent]:
-        """Takes a watch's changes; returns the new ones.
+        """Applies the changes of a watch and returns the new ones.
 
         Raises RevisionGapError, StaleReadError, StoreRolledBackError.
         """
         self._check_store(batch.store_id)
         if not self.is_loaded or batch.after_revision > self.revision:
-            raise RevisionGapError(f"changes after {batch.after_revision}, known up to {self.revision}")
+            raise RevisionGapError(
+                f"changes after revision {batch.after_revision} arrived, the cache ends at {self.revision}"
+            )
         if batch.revision < batch.after_revision:
-            raise StaleReadError(f"revision {batch.revision}, {batch.after_revision} is known")
+            raise StaleReadError(
+                f"watch at revision {batch.revision}, although revision {batch.after_revision} is known"
+            )
         self._check_repeated_events(batch)
         events = [event for event in batch.events if event.revision > self.revision]
         if events:
@@ -113,7 +121,7 @@
 
     def _check_store(self, store_id: str) -> None:
         if self.is_loaded and store_id != self.store_id:
-            raise StoreRolledBackError(f"it is register {store_id or '?'} and was {self.store_id or '?'}")
+            raise StoreRolledBackError(f"store id is {store_id or '?'}, and was {self.store_id or '?'}")
 
     def _check_versions(self, found: dict[str, Record]) -> None:
         for key, known in self.records.items():
@@ -124,11 +132,11 @@
             is_different = other.version == known.version and other != known
             if is_older or is_different:
                 raise StoreRolledBackError(
-                    f"{key} at version {other.version} is not what it was at {known.version}"
+                    f"{key} at version {other.version} does not match the known record at {known.version}"
                 )
 
     def _check_repeated_events(self, batch: WatchBatch) -> None:
-        """Where a batch covers the last known revision, it has to bring the same changes of it."""
+        """Checks that a batch that covers the last known revision contains the same changes of it."""
         if not self.last_events:
             return
         last_revision = self.last_events[0].revision
@@ -138,7 +146,7 @@
         if repeated != self.last_events:
             before = _keys(self.last_events)
             raise StoreRolledBackError(
-                f"revision {last_revision} changed {_keys(repeated)}; it had changed {before}"
+                f"revision {last_revision} changes {_keys(repeated)}, and changed {before} before"
             )
 
 
--- a/tests/test_participant.py
+++ b/tests/test_participant.py
@@ -192,14 +192,14 @@
             cache.load_snapshot(snapshot(6, record("a", 6)))
 
     def test_reports_another_store(self, cache: WatchCache) -> None:
-        with pytest.raises(StoreRolledBackError, match="register two"):
+        with pytest.raises(StoreRolledBackError, match="store id is two, and was one"):
             cache.apply_batch(batch(7, 8, store_id="two"))
 
     def test_reports_a_history_that_changed(self, cache: WatchCache) -> None:
         other_history = batch(6, 9, written(record("c", 7)))
-        with pytest.raises(StoreRolledBackError, match="revision 7 changed c; it had changed b"):
+        with pytest.raises(StoreRolledBackError, match="revision 7 changes c, and changed b before"):
             cache.apply_batch(other_history)
-        with pytest.raises(StoreRolledBackError, match="a at version 6 is not what it was"):
+        with pytest.raises(StoreRolledBackError, match="a at version 6 does not match the known record at 6"):
             cache.load_snapshot(snapshot(9, record("a", 6, b"other")))
 
     def test_goes_on_after_errors(self, cache: WatchCache) -> None:
