--- a/gradehoist/coordination/writes.py
+++ b/gradehoist/coordination/writes.py
@@ -1,9 +1,11 @@
-"""The queue of proposed commits, made one after the other. Free of I/O.
+"""A queue of proposed commits, which are sent one after the other. Free of I/O.
 
-A commit whose response was lost is made again under the same id. It is then committed; or rejected by a
-record that bears its id, so that it had been committed; or rejected by another's record, and the watch shows
-whether the id ever was there. Where that history is gone, the outcome is reported as unknown: it is never
-guessed.
+A commit whose response was lost is sent again with the same id. Its outcome is then found as follows:
+
+- If the store accepts it, it is committed.
+- If it is rejected because of a record with its own id, an earlier attempt was committed.
+- If it is rejected because of another commit's record, the watch shows whether its id was ever written. If
+  the watch missed changes meanwhile, the outcome is reported as unknown.
 """
 
 from __future__ import annotations
@@ -28,14 +30,14 @@
 
 @dataclass
 class PendingCommit:
-    """A proposed commit that has not ended.
+    """A proposed commit whose outcome is open.
 
     Attributes:
-        operation: The commit, the same at each attempt.
+        operation: The commit, which is the same at each attempt.
         outcome_unknown: Whether an attempt may have been committed although its response was lost.
         seen_revision: The revision at which the watch showed the commit's id, or zero.
-        rejection: The response to the last attempt, while it is not known whether an earlier one was
-        committed.
+        rejection: The rejection of the last attempt, while it is not known whether an earlier one was
+            committed.
         missed_events: Whether the watch missed changes since the first attempt.
     """
 
@@ -47,12 +49,19 @@
 
     @property
     def commit_id(self) -> str:
-        """Names the commit in the records that it writes."""
+        """The id of the commit, which is stored in the records that it writes."""
         return self.operation.commit_id
 
 
 class CommitQueue:
-    """Commits in the order of their proposal. Owned by a `Participant`, which routes responses to it."""
+    """Sends commits in the order in which they were proposed.
+
+    A `Participant` owns the queue and passes responses to it.
+
+    Attributes:
+        schedule: When the next attempt is made.
+        pending: The commits whose outcome is open.
+    """
 
     def __init__(
         self,
@@ -60,7 +69,13 @@
         new_commit: Callable[[tuple[Change, ...]], CommitChanges],
         notify: Callable[[Notification], None],
     ) -> None:
-        """Takes `new_commit`, which gives changes an id; `notify` hears how each commit ended."""
+        """Creates an empty queue.
+
+        Args:
+            cache: The cache that the watch keeps up to date.
+            new_commit: Assigns an id to the changes of a commit.
+            notify: Called with the outcome of each commit.
+        """
         self.schedule = CallSchedule()
         self.pending: deque[PendingCommit] = deque()
         self._cache = cache
@@ -75,7 +90,7 @@
         return commit.commit_id
 
     def next_operation(self, now_us: int) -> CommitChanges | None:
-        """The attempt to make next; None while the first commit waits for the watch."""
+        """Returns the next attempt, or None while the outcome of the first commit depends on the watch."""
         head = self.pending[0]
         if head.rejection is None:
             return head.operation
@@ -84,7 +99,7 @@
         return None
 
     def on_response(self, response: Committed | CommitRejected) -> None:
-        """Takes the response to the attempt in flight."""
+        """Handles the response to the attempt in flight."""
         head = self.pending[0]
         if isinstance(response, Committed):
             self._settle(head, CommitOutcome.COMMITTED, response.revision)
@@ -93,32 +108,35 @@
         self._resolve_rejection(head, response)
 
     def on_lost_response(self) -> None:
-        """The attempt in flight may have been committed, or may still be."""
+        """Records that the attempt in flight may have been committed, or may still be."""
         self.pending[0].outcome_unknown = True
 
     def on_failure(self, outcome: CommitOutcome) -> None:
-        """The attempt in flight failed for good."""
+        """Settles the commit whose attempt in flight failed permanently."""
         self._settle(self.pending[0], outcome)
 
     def on_events(self, events: Iterable[WatchEvent]) -> None:
-        """Takes note of pending commits that the watch shows to have been committed."""
+        """Records which pending commits were committed according to the watch."""
         for event in events:
             for commit in self.pending:
                 if event.record is not None and event.record.commit_id == commit.commit_id:
                     commit.seen_revision = event.revision
 
     def on_snapshot(self) -> None:
-        """A full read shows the last writer of each record and not those before it."""
+        """Records that the watch missed changes: a full read shows only the last commit of each record."""
         if self.pending and (self.pending[0].outcome_unknown or self.schedule.in_flight):
             self.pending[0].missed_events = True
 
     def abandon(self, next_at_us: int) -> None:
-        """Settles all commits after the store was rolled back: those that may have been made as unknown."""
+        """Settles all commits after the store was rolled back.
+
+        Commits that may have been sent are unknown, the others are rejected.
+        """
         in_flight = self.schedule.in_flight
         for commit in list(self.pending):
             is_unknown = commit.outcome_unknown or in_flight
             self._settle(commit, CommitOutcome.UNKNOWN if is_unknown else CommitOutcome.REJECTED)
-            in_flight = False  # only the first one can be
+            in_flight = False  # only the first commit can be in flight
         self.schedule.restart(next_at_us)
 
     def _resolve_rejection(self, head: PendingCommit, rejection: CommitRejected) -> None:
@@ -131,11 +149,12 @@
         if own_versions or head.seen_revision:
             self._settle(head, CommitOutcome.COMMITTED, max([*own_versions, head.seen_revision]))
         elif deletes_only and not rejection.records:
-            self._settle(head, CommitOutcome.COMMITTED, rejection.revision)  # all that was to go has gone
+            # All records that the commit was to delete are gone.
+            self._settle(head, CommitOutcome.COMMITTED, rejection.revision)
         elif head.missed_events:
             self._settle(head, CommitOutcome.UNKNOWN)
         elif self._cache.revision >= rejection.revision:
-            # The watch showed every change up to the rejection, and none of them was this commit.
+            # The watch delivered every change up to the rejection, and none of them was made by this commit.
             self._settle(head, CommitOutcome.REJECTED)
 
     def _settle(self, commit: PendingCommit, outcome: CommitOutcome, revision: int = 0) -> None:
