--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -5,14 +5,16 @@
 import dataclasses
 
 from gradehoist.settings.fleet import CellPlacement
-from tests.support.governed_fleet import World
+from tests.support.governed_fleet import GovernedFleet
 
 
 def fleet_with_cells(
     cell_count: int, proxy_count: int, replica_count: int, queue: int = 40_000, rate: int = 20_000
-) -> World:
+) -> GovernedFleet:
     """Cells that hold pairs of replicas in turn; the tenant "big" lives in `c1`."""
-    found = World(relays=proxy_count, replicas=replica_count, queue=queue, rate=rate)
+    found = GovernedFleet(
+        proxy_count=proxy_count, replica_count=replica_count, queue_limit_lines=queue, lines_per_s=rate
+    )
     cells = tuple(f"c{n}" for n in range(cell_count))
     placement = CellPlacement(
         cells=cells,
@@ -21,5 +23,5 @@
     )
     fleet = dataclasses.replace(found.settings.fleet, placement=placement)
     found.settings = dataclasses.replace(found.settings, fleet=fleet)
-    found.begin("cells")
+    found.start_governor("cells")
     return found
--- a/tests/support/governor_process.py
+++ b/tests/support/governor_process.py
@@ -21,79 +21,90 @@
 from gradehoist.protocol import feed, http
 from gradehoist.protocol.proxy_state import ProxyState
 from gradehoist.scenario.free_ports import find_free_ports
-from tests.support.governed_fleet import TEXT, entry
+from tests.support.governed_fleet import SETTINGS_TEMPLATE, make_endpoint
 
-LOCAL = "127.0.0.1"
-ROOT = Path(__file__).parent.parent.parent
-GRACE = 2.0  # as the settings of `TEXT` say
+LOOPBACK = "127.0.0.1"
+REPOSITORY = Path(__file__).parent.parent.parent
+DRAIN_GRACE_S = 2.0  # as the settings of `TEXT` say
 
 
-class Roster:
+class FakeEndpointList:
     """Answers with the whole list; holds a call that has it, unless it is to answer at once."""
 
     def __init__(self, count: int = 4) -> None:
         (self.port,) = find_free_ports(1)
-        self.life, self.version, self.calls, self.hold = "l", 1, 0, True
-        self.entries: dict[str, dict[str, Any]] = {}
+        self.incarnation, self.version, self.request_count, self.holds_requests = "l", 1, 0, True
+        self.records: dict[str, dict[str, Any]] = {}
         for n in range(count):
-            self.put(entry(n))
-        self.news = asyncio.Event()
+            self.put(make_endpoint(n))
+        self.changed = asyncio.Event()
         self.server = HttpServer(self._handle)
-        self.server.listen(self.port, LOCAL)
+        self.server.listen(self.port, LOOPBACK)
 
     def put(self, e: feed.EndpointRecord, **other: Any) -> None:
-        self.entries[e.replica] = msgspec.to_builtins(e) | other
+        self.records[e.replica] = msgspec.to_builtins(e) | other
 
-    def list(self, *changed: feed.EndpointRecord, **other: Any) -> None:
+    def publish(self, *changed: feed.EndpointRecord, **other: Any) -> None:
         for e in changed:
             self.put(e, **other)
         self.version += 1
-        self.wake()
+        self.answer_held_requests()
 
-    def wake(self) -> None:
-        self.news.set()
-        self.news = asyncio.Event()
+    def answer_held_requests(self) -> None:
+        self.changed.set()
+        self.changed = asyncio.Event()
 
     async def _handle(self, request: http.Request, connection: Connection) -> ServerResponse:
-        self.calls += 1
+        self.request_count += 1
         query = {k: v[-1] for k, v in parse_qs(urlsplit(request.target).query).items()}
-        if self.hold and query.get("after") == str(self.version) and query.get("life") == self.life:
+        if (
+            self.holds_requests
+            and query.get("after") == str(self.version)
+            and query.get("life") == self.incarnation
+        ):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(1.0):
-                    await self.news.wait()
+                    await self.changed.wait()
         return ServerResponse(
             200,
             msgspec.json.encode(
                 {
-                    "life": self.life,
+                    "life": self.incarnation,
                     "version": self.version,
                     "whole": True,
-                    "entries": list(self.entries.values()),
+                    "entries": list(self.records.values()),
                 }
             ),
         )
 
 
-class Relay:
+class FakeProxy:
     """Follows one governor and holds what it is told; a deaf one applies all and never says so."""
 
-    def __init__(self, port: int, name: str, deaf: bool = False, zone: str = "x") -> None:
-        self.port, self.name, self.deaf, self.zone = port, name, deaf, zone
-        self.holdings, self.epoch, self.stream, self.after = ProxyState(), "", 0, 0
-        self.joined, self.joins, self.refused = False, 0, ""
+    def __init__(
+        self, port: int, name: str, withholds_acknowledgements: bool = False, zone: str = "x"
+    ) -> None:
+        self.port, self.name, self.withholds_acknowledgements, self.zone = (
+            port,
+            name,
+            withholds_acknowledgements,
+            zone,
+        )
+        self.state, self.epoch, self.stream, self.applied_seq = ProxyState(), "", 0, 0
+        self.is_joined, self.join_count, self.rejection = False, 0, ""
         self.task = asyncio.ensure_future(self._run())
 
     async def _run(self) -> None:
-        client = HttpClient(LOCAL, self.port)
+        client = HttpClient(LOOPBACK, self.port)
         while True:
             try:
                 await self._poll(client)
             except (ConnectError, ConnectionLostError, ResponseTimeoutError):
-                self.joined = False
+                self.is_joined = False
                 await asyncio.sleep(0.05)
 
     async def _poll(self, client: HttpClient) -> None:
-        after = 0 if self.deaf else self.after
+        after = 0 if self.withholds_acknowledgements else self.applied_seq
         response = await client.request(
             "GET",
             f"/v1/feed?relay={self.name}&zone={self.zone}&rate=1"
@@ -101,27 +112,27 @@
             f"&stream={self.stream}&after={after}",
         )
         if response.status != 200:
-            self.joined, self.refused = False, f"{response.status} {response.body.decode()}"
+            self.is_joined, self.rejection = False, f"{response.status} {response.body.decode()}"
             await asyncio.sleep(0.05)
             return
         answer: feed.PollResponse = msgspec.json.decode(response.body, type=feed.PollResponse)
         if (answer.epoch, answer.stream) != (self.epoch, self.stream):
-            self.epoch, self.stream, self.after = answer.epoch, answer.stream, 0
-            self.joins += 1
-            self.holdings.begin_stream()
-        self.joined = True
+            self.epoch, self.stream, self.applied_seq = answer.epoch, answer.stream, 0
+            self.join_count += 1
+            self.state.begin_stream()
+        self.is_joined = True
         for message in answer.messages:
-            if message.seq > self.after:
-                self.holdings.apply(message)
-                self.after = message.seq
-        if self.deaf:
+            if message.seq > self.applied_seq:
+                self.state.apply(message)
+                self.applied_seq = message.seq
+        if self.withholds_acknowledgements:
             await asyncio.sleep(0.05)
 
-    def sends_to(self, replica: str, cls: str = "read") -> bool:
-        return replica in self.holdings.weights_for(cls)
+    def sends_to(self, replica: str, request_class: str = "read") -> bool:
+        return replica in self.state.weights_for(request_class)
 
 
-async def until(what: Callable[[], Any], seconds: float) -> bool:
+async def wait_until(what: Callable[[], Any], seconds: float) -> bool:
     """Whether it came true within so long."""
     end = asyncio.get_running_loop().time() + seconds
     while not what():
@@ -131,10 +142,14 @@
     return True
 
 
-def settings(folder: Path, roster: int, port: int, change: Iterable[tuple[str, str]] = ()) -> Path:
-    text = TEXT.format(relays=4, queue=2000, rate=2000).replace(":7000", f":{roster}")
-    text = text.replace(":7101", f":{port}")
-    for old, new in change:
+def write_settings(
+    folder: Path, endpoint_list_port: int, governor_port: int, replacements: Iterable[tuple[str, str]] = ()
+) -> Path:
+    text = SETTINGS_TEMPLATE.format(relays=4, queue=2000, rate=2000).replace(
+        ":7000", f":{endpoint_list_port}"
+    )
+    text = text.replace(":7101", f":{governor_port}")
+    for old, new in replacements:
         assert old in text
         text = text.replace(old, new)
     path = folder / "s.kdl"
@@ -142,7 +157,7 @@
     return path
 
 
-class Governor:
+class GovernorProcess:
     """A process; its log goes to a file unless told otherwise."""
 
     def __init__(
@@ -150,43 +165,43 @@
         path: Path,
         port: int,
         name: str = "a",
-        log: int | IO[Any] | None = None,
-        limits: Iterable[tuple[int, int]] = (),
+        stderr: int | IO[Any] | None = None,
+        resource_limits: Iterable[tuple[int, int]] = (),
     ) -> None:
-        self.port, self.log = port, path.parent / f"{name}.log"
-        some = tuple(limits)
+        self.port, self.log_path = port, path.parent / f"{name}.log"
+        some = tuple(resource_limits)
 
         def limit() -> None:
             for kind, most in some:
                 resource.setrlimit(kind, (most, most))
 
-        with self.log.open("ab") as file:
+        with self.log_path.open("ab") as file:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "gradehoist", "governor", str(path), "--name", name, "--log", "json"],
-                cwd=ROOT,
-                stderr=file if log is None else log,
+                cwd=REPOSITORY,
+                stderr=file if stderr is None else stderr,
                 stdin=subprocess.DEVNULL,
                 start_new_session=True,
                 preexec_fn=limit if some else None,
             )
-        self.client = HttpClient(LOCAL, port)
+        self.client = HttpClient(LOOPBACK, port)
 
     async def status(self) -> dict[str, Any]:
         response = await self.client.request("GET", "/v1/status", timeout_s=2.0)
         found: dict[str, Any] = msgspec.json.decode(response.body, type=dict[str, Any])
         return found
 
-    async def up(self) -> dict[str, Any]:
+    async def wait_until_serving(self) -> dict[str, Any]:
         for _ in range(400):
-            assert self.process.poll() is None, self.log.read_text()
+            assert self.process.poll() is None, self.log_path.read_text()
             with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError):
                 if not (found := await self.status())["roster_old"]:
                     return found
             await asyncio.sleep(0.05)
         raise AssertionError("the governor did not come up")
 
-    async def ended(self, seconds: float) -> int | None:
-        await until(lambda: self.process.poll() is not None, seconds)
+    async def wait_for_exit(self, seconds: float) -> int | None:
+        await wait_until(lambda: self.process.poll() is not None, seconds)
         return self.process.poll()
 
     def kill(self) -> None:
@@ -198,18 +213,22 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet(
-    folder: Path, relays: int = 1, change: Iterable[tuple[str, str]] = (), **how: Any
-) -> AsyncIterator[tuple[Roster, Governor, list[Relay]]]:
+async def run_fleet(
+    folder: Path, proxy_count: int = 1, replacements: Iterable[tuple[str, str]] = (), **governor_options: Any
+) -> AsyncIterator[tuple[FakeEndpointList, GovernorProcess, list[FakeProxy]]]:
     """A roster, one governor, and relays that it has bound."""
-    roster = Roster()
+    roster = FakeEndpointList()
     (port,) = find_free_ports(1)
-    governor = Governor(settings(folder, roster.port, port, change), port, **how)
-    some: list[Relay] = []
+    governor = GovernorProcess(
+        write_settings(folder, roster.port, port, replacements), port, **governor_options
+    )
+    some: list[FakeProxy] = []
     try:
-        await governor.up()
-        some += [Relay(port, f"r{n}") for n in range(relays)]
-        assert await until(lambda: all(r.holdings.is_bound for r in some), 10), governor.log.read_text()
+        await governor.wait_until_serving()
+        some += [FakeProxy(port, f"r{n}") for n in range(proxy_count)]
+        assert await wait_until(
+            lambda: all(r.state.is_bound for r in some), 10
+        ), governor.log_path.read_text()
         yield roster, governor, some
     finally:
         for relay in some:
@@ -218,5 +237,5 @@
         roster.server.abort()
 
 
-def play(work: Callable[[], Any]) -> None:
+def run_async(work: Callable[[], Any]) -> None:
     asyncio.run(asyncio.wait_for(work(), 60))
--- a/tests/support/interleavings.py
+++ b/tests/support/interleavings.py
@@ -22,11 +22,11 @@
 from gradehoist.governor.proxy_sessions import FeedPoll
 from gradehoist.protocol import feed
 from gradehoist.protocol.proxy_state import ProxyState
-from tests.support.governed_fleet import SECOND, entry, settings
+from tests.support.governed_fleet import SECOND_US, make_endpoint, make_settings
 
 TICK = 50_000
 GAP = 400_000  # between events: shorter than a period, longer than a message's way
-TAIL = 5 * SECOND  # after the last one: grace and bare limit can both run out
+TAIL = 5 * SECOND_US  # after the last one: grace and bare limit can both run out
 QUEUE, RATE = 150.0, 500.0
 DEMAND = 0.9  # of one warm replica's capacity, from each relay
 CLASSES = ("read", "write")
@@ -110,13 +110,13 @@
 
 class Site:
     def __init__(self, governors: int, spoil: Spoil | None = None) -> None:
-        found = settings(2, QUEUE, RATE)
+        found = make_settings(2, QUEUE, RATE)
         # A short span and a long cold time: otherwise no weights could push over what so small a fleet has.
-        rules = replace(found.fleet.safety, warmup_us=10 * SECOND, overload_window_us=SECOND)
+        rules = replace(found.fleet.safety, warmup_us=10 * SECOND_US, overload_window_us=SECOND_US)
         self.settings = replace(found, fleet=replace(found.fleet, safety=rules))
         self.rules, self.spoil = rules, spoil
-        self.now, self.lives, self.done = 100 * SECOND, 0, list[str]()
-        self.replicas = {f"w{n}": entry(n) for n in range(3)}
+        self.now, self.lives, self.done = 100 * SECOND_US, 0, list[str]()
+        self.replicas = {f"w{n}": make_endpoint(n) for n in range(3)}
         self.started = dict.fromkeys(self.replicas, 0)
         self.failing: set[str] = set()
         self.sent: dict[str, deque[tuple[int, float, bool]]] = defaultdict(deque)
@@ -124,7 +124,7 @@
         self.relays = [Relay(f"r{n}", "xy"[n % 2], n % governors) for n in range(2)]
         for relay in self.relays:
             relay.holdings.install_default_tables({c: {"w0": 1.0, "w1": 1.0} for c in CLASSES})
-        self.run(3 * SECOND)
+        self.run(3 * SECOND_US)
         for relay in self.relays:
             if not relay.holdings.is_bound:
                 raise Broken("not bound")
@@ -196,13 +196,13 @@
                 relay.at = (relay.at + 1) % len(self.governors)
             case "leaves":
                 self._lost(relay)
-                relay.dials = self.now + SECOND
+                relay.dials = self.now + SECOND_US
             case "restart":
                 for one in [r for r in self.relays if r.at == int(name)]:
                     one.joined, one.answer, one.dials = -1, None, self.now + 100_000
                 self.governors[int(name)] = self._governor()
             case "period":
-                self.run(SECOND)
+                self.run(SECOND_US)
             case _:
                 raise ValueError(word)
         self.run(GAP)
@@ -210,7 +210,7 @@
     def _list(self, name: str, phase: str, boot: int = 0) -> None:
         old = self.replicas[name]
         number = boot or int(old.incarnation.partition("/")[2])
-        self.replicas[name] = entry(int(name[1:]), phase, number)
+        self.replicas[name] = make_endpoint(int(name[1:]), phase, number)
         for governor in self.governors:
             self._tell(governor)
 
@@ -245,7 +245,7 @@
                 return
             if answer is not None:
                 relay.answer = (self.now + relay.way, answer)
-        if self.now % SECOND < TICK and relay.joined >= 0:
+        if self.now % SECOND_US < TICK and relay.joined >= 0:
             tries = tuple(
                 feed.ReplicaAttempts(w, 6, 6 * (w in self.failing), 200_000, 0.5, 2.0)
                 for w in relay.holdings.weights_for("read")
@@ -253,7 +253,7 @@
             came = tuple(feed.ClassRequests(c, 10) for c in CLASSES)
             with suppress(RequestRejectedError):
                 self.governors[relay.at].core.handle_load_report(
-                    feed.ProxyLoadReport(relay.name, relay.epoch, SECOND, tries, came)
+                    feed.ProxyLoadReport(relay.name, relay.epoch, SECOND_US, tries, came)
                 )
 
     def _take(self, relay: Relay, answer: feed.PollResponse) -> None:
--- a/tests/support/migration_site.py
+++ b/tests/support/migration_site.py
@@ -18,7 +18,7 @@
 from gradehoist.protocol import feed, http
 from gradehoist.scenario.free_ports import find_free_ports
 from gradehoist.settings.fleet import CellPlacement
-from tests.support.governed_fleet import on_sockets
+from tests.support.governed_fleet import make_loopback_settings
 
 LOCAL = "127.0.0.1"
 TENANT = "inn"
@@ -48,7 +48,7 @@
         self.deaf = deaf
         self.listed_addresses = dict[str, str]()
         self.servers = [self._serve(name, port) for name, port in self.ports.items()]
-        self.settings = on_sockets(
+        self.settings = make_loopback_settings(
             folder,
             self.ports["roster"],
             self.ports[GOVERNOR],
--- a/tests/support/rollout_site.py
+++ b/tests/support/rollout_site.py
@@ -13,7 +13,7 @@
 from gradehoist.protocol import feed, http
 from gradehoist.scenario.free_ports import find_free_ports
 from gradehoist.settings.fleet import CellPlacement
-from tests.support.governed_fleet import on_sockets
+from tests.support.governed_fleet import make_loopback_settings
 
 LOCAL = "127.0.0.1"
 REPLICAS_BY_CELL = {"A": ("a1", "a2"), "B": ("b1", "b2"), "C": ("c1", "c2")}
@@ -46,7 +46,7 @@
         cell_by_replica = {name: cell for cell, names in REPLICAS_BY_CELL.items() for name in names}
         placement = CellPlacement(tuple(REPLICAS_BY_CELL), cell_by_replica)
         list_port, governor_port = self.ports
-        self.settings = on_sockets(folder, list_port, governor_port, placement)
+        self.settings = make_loopback_settings(folder, list_port, governor_port, placement)
         self.messages: list[str] = []
         self.unanswered_list_requests = 0
         self.is_governor_silent: Callable[[], bool] = lambda: False
--- a/tests/support/zone_fleet.py
+++ b/tests/support/zone_fleet.py
@@ -13,8 +13,8 @@
 from gradehoist.net.client import ConnectError, ConnectionLostError, HttpClient, ResponseTimeoutError
 from gradehoist.protocol import feed
 from gradehoist.scenario.free_ports import find_free_ports
-from tests.support.governed_fleet import TEXT, entry
-from tests.support.governor_process import LOCAL, Governor, Relay, Roster
+from tests.support.governed_fleet import SETTINGS_TEMPLATE, make_endpoint
+from tests.support.governor_process import LOOPBACK, FakeEndpointList, FakeProxy, GovernorProcess
 
 ZONES = ("x", "y", "z")
 REPLICA_COUNT = 12
@@ -29,7 +29,7 @@
     return ZONES[int(replica[1:]) % len(ZONES)]
 
 
-class ReportingProxy(Relay):
+class ReportingProxy(FakeProxy):
     """A proxy that reports what it meets: in failing zones every attempt fails.
 
     One whose network is cut sees every attempt fail outside its own zone.
@@ -50,7 +50,7 @@
 
     def zone_shares(self) -> dict[str, float]:
         """The share of its traffic that goes to each zone."""
-        weights = self.holdings.weights_for("read")
+        weights = self.state.weights_for("read")
         total = sum(weights.values()) or 1.0
         shares = dict.fromkeys(ZONES, 0.0)
         for replica, weight in weights.items():
@@ -58,7 +58,7 @@
         return shares
 
     async def _report(self) -> None:
-        client = HttpClient(LOCAL, self.port)
+        client = HttpClient(LOOPBACK, self.port)
         fractions = dict[str, float]()  # of attempts that were not made yet, by replica
         while True:
             await asyncio.sleep(self.REPORT_INTERVAL_S)
@@ -73,7 +73,7 @@
                 await client.request("POST", "/v1/sums", msgspec.json.encode(report), timeout_s=1.0)
 
     def _attempts(self, fractions: dict[str, float]) -> list[feed.ReplicaAttempts]:
-        weights = self.holdings.weights_for("read")
+        weights = self.state.weights_for("read")
         total = sum(weights.values())
         rows = []
         for replica, weight in weights.items():
@@ -98,23 +98,23 @@
     def __init__(self, folder: Path) -> None:
         self.failing_zones = set[str]()
         self._sent = dict[str, dict[str, float]]()  # attempts of a report, by replica and proxy
-        self.endpoint_list = Roster(0)
+        self.endpoint_list = FakeEndpointList(0)
         for number in range(REPLICA_COUNT):
-            record = msgspec.structs.replace(entry(number), zone=ZONES[number % len(ZONES)])
+            record = msgspec.structs.replace(make_endpoint(number), zone=ZONES[number % len(ZONES)])
             self.endpoint_list.put(record)
         ports = find_free_ports(len(ZONES))
         path = folder / "s.kdl"
         path.write_text(self._settings_text(ports))
-        self.governors = [Governor(path, port, zone) for zone, port in zip(ZONES, ports, strict=True)]
+        self.governors = [GovernorProcess(path, port, zone) for zone, port in zip(ZONES, ports, strict=True)]
         self.proxies: list[ReportingProxy] = []
 
     def _settings_text(self, ports: list[int]) -> str:
-        text = TEXT.format(relays=6, queue=4000, rate=4000)
+        text = SETTINGS_TEMPLATE.format(relays=6, queue=4000, rate=4000)
         text = text.replace(":7000", f":{self.endpoint_list.port}")
         text = text.replace('zones "x" "y"', 'zones "x" "y" "z"')
         text = text.replace("    reports", f"    {COORDINATION}\n    reports")
         governors = "".join(
-            f'governor "{zone}" zone="{zone}" listen="{LOCAL}:{port}"\n'
+            f'governor "{zone}" zone="{zone}" listen="{LOOPBACK}:{port}"\n'
             for zone, port in zip(ZONES, ports, strict=True)
         )
         return text[: text.index('governor "a"')] + governors
@@ -132,7 +132,7 @@
     async def zone_statuses(self) -> list[dict[str, Any]]:
         """What each living governor says of the zones."""
 
-        async def status(governor: Governor) -> dict[str, Any]:
+        async def status(governor: GovernorProcess) -> dict[str, Any]:
             with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError):
                 found: dict[str, Any] = (await governor.status())["zones"]
                 return found
@@ -141,14 +141,14 @@
         found = await asyncio.gather(*(status(governor) for governor in self.governors))
         return [zones for zones in found if zones]
 
-    async def leaders(self) -> list[Governor]:
+    async def leaders(self) -> list[GovernorProcess]:
         """The governors that say they lead the zones' election."""
         return [g for g in self.governors if "zones" in (await g.status())["fleet"]["rights"]]
 
     async def until(self, condition: Callable[[], Awaitable[bool]], seconds: float = 40.0) -> None:
         end = asyncio.get_running_loop().time() + seconds
         while not await condition():
-            logs = [governor.log.read_text()[-1500:] for governor in self.governors]
+            logs = [governor.log_path.read_text()[-1500:] for governor in self.governors]
             assert asyncio.get_running_loop().time() < end, (await self.zone_statuses(), logs)
             await asyncio.sleep(0.1)
 
@@ -185,7 +185,7 @@
 
         await self.until(is_met, seconds)
 
-    def kill(self, governor: Governor) -> None:
+    def kill(self, governor: GovernorProcess) -> None:
         """Kill a governor; its proxies join another one."""
         governor.kill()
         self.governors.remove(governor)
@@ -207,7 +207,7 @@
     fleet = ZoneFleet(folder)
     try:
         for governor in fleet.governors:
-            await governor.up()
+            await governor.wait_until_serving()
         fleet.proxies = [
             ReportingProxy(governor.port, f"r{zone}{number}", zone, fleet)
             for governor, zone in zip(fleet.governors, ZONES, strict=True)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -17,7 +17,7 @@
 from gradehoist.settings.fleet_parser import read_settings
 from gradehoist.settings.reader import SettingsError
 from tests.support.cell_fleet import fleet_with_cells
-from tests.support.governed_fleet import SECOND, entry, on_sockets
+from tests.support.governed_fleet import SECOND_US, make_endpoint, make_loopback_settings
 
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "example.kdl"
 
@@ -143,7 +143,7 @@
 def test_no_tenant_is_migrated_into_a_draining_cell(tmp_path: Path) -> None:
     save_draining_cells(tmp_path, ("B",))
     assert load_draining_cells(tmp_path) == ("B",)
-    settings = on_sockets(tmp_path, 7000, 7101, DRAINED)
+    settings = make_loopback_settings(tmp_path, 7000, 7101, DRAINED)
 
     with pytest.raises(ValueError, match="cell B is draining"):
         create_migrations(tmp_path, settings, {"t1": "C", "t2": "B"})
@@ -159,7 +159,7 @@
 
 def test_a_governor_with_twelve_cells_keeps_to_the_messages_a_proxy_may_get() -> None:
     found = fleet_with_cells(12, 20, 48)
-    stamps: dict[str, list[int]] = {r.name: [] for r in found.relays}
+    stamps: dict[str, list[int]] = {r.name: [] for r in found.proxies}
     put = found.core.publisher.channel.put
 
     def counted(now: int, proxy: int, *rest: Any) -> str | None:
@@ -169,42 +169,42 @@
         return rejection
 
     found.core.publisher.channel.put = counted  # type: ignore[method-assign,assignment]
-    found.dial()
+    found.connect()
     found.run(4)
     labels = {class_label(f"c{n}", c) for n in range(12) for c in ("read", "write")}
-    for relay in found.relays:
-        assert labels <= set(relay.holdings.table_by_class)
-        assert relay.holdings.routes is not None
-        assert relay.holdings.routes.cell_by_tenant == {"big": "c1"}
-        assert set(relay.holdings.weights_for("c3/read")) == {"w6", "w7", "w30", "w31"}
-    found.list(entry(7, "draining"), entry(30, "gone"), entry(99))
+    for relay in found.proxies:
+        assert labels <= set(relay.state.table_by_class)
+        assert relay.state.routes is not None
+        assert relay.state.routes.cell_by_tenant == {"big": "c1"}
+        assert set(relay.state.weights_for("c3/read")) == {"w6", "w7", "w30", "w31"}
+    found.update_endpoints(make_endpoint(7, "draining"), make_endpoint(30, "gone"), make_endpoint(99))
     found.run(3)  # the simulation checks the grace over the labels of every cell
-    assert all(set(r.holdings.weights_for("c3/write")) == {"w6", "w31"} for r in found.relays)
+    assert all(set(r.state.weights_for("c3/write")) == {"w6", "w31"} for r in found.proxies)
     assert any(x.name == "replica_ignored" and x.fields["replica"] == "w99" for x in found.core.log.pending)
     for n in range(30):
-        found.list(entry(n % 40 + 1, "ready" if n % 2 else "draining"))
+        found.update_endpoints(make_endpoint(n % 40 + 1, "ready" if n % 2 else "draining"))
         found.run(0.3)
     for times in stamps.values():
-        assert all(sum(t - 10 * SECOND < x <= t for x in times) <= 20 for t in times)
+        assert all(sum(t - 10 * SECOND_US < x <= t for x in times) <= 20 for t in times)
     assert not any(x.name == "message_rejected" for x in found.core.log.pending)
 
 
 def test_a_cell_without_a_replica_stays_without_and_borrows_from_no_other() -> None:
     """The border holds: with none of its own ready there is nothing to pick, and rule 1 does not run."""
     found = fleet_with_cells(3, 6, 12)
-    found.dial()
+    found.connect()
     found.run(4)
     own = [n for n in range(12) if n // 2 % 3 == 1]
-    before = {r.name: r.holdings.weights_for("c0/write") for r in found.relays}
-    found.list(*(entry(n, "gone") for n in own))
+    before = {r.name: r.state.weights_for("c0/write") for r in found.proxies}
+    found.update_endpoints(*(make_endpoint(n, "gone") for n in own))
     found.run(3)
-    for relay in found.relays:
-        assert not relay.holdings.weights_for("c1/read")
-        assert not relay.holdings.weights_for("c1/write")
-        assert set(relay.holdings.weights_for("c0/write")) == set(before[relay.name])
-    found.list(entry(own[0], "ready", boot=2, age=0))
+    for relay in found.proxies:
+        assert not relay.state.weights_for("c1/read")
+        assert not relay.state.weights_for("c1/write")
+        assert set(relay.state.weights_for("c0/write")) == set(before[relay.name])
+    found.update_endpoints(make_endpoint(own[0], "ready", boot_number=2, age_us=0))
     found.run(8)  # back cold: alone in its cell it is used all the same, or the cell would stay unroutable
-    assert all(set(r.holdings.weights_for("c1/write")) == {f"w{own[0]}"} for r in found.relays)
+    assert all(set(r.state.weights_for("c1/write")) == {f"w{own[0]}"} for r in found.proxies)
 
 
 def test_a_governor_with_a_split_placement_serves_the_new_cell_and_moves_no_tenant() -> None:
@@ -221,20 +221,20 @@
     )
     fleet = dataclasses.replace(found.settings.fleet, placement=split)
     found.settings = dataclasses.replace(found.settings, fleet=fleet)
-    found.begin("split")
-    found.dial()
+    found.start_governor("split")
+    found.connect()
     found.run(4)
-    for relay in found.relays:
-        routes = relay.holdings.routes
+    for relay in found.proxies:
+        routes = relay.state.routes
         assert routes is not None
         homes = [home_cell(name, routes.cells, routes.cell_by_tenant) for name in names]
         assert homes == [old.home_cell(name) for name in names]
-        assert set(relay.holdings.weights_for("new/write")) == set(split_off)
-        assert set(relay.holdings.weights_for("c0/write")) == set(old.replicas_of("c0")) - set(split_off)
+        assert set(relay.state.weights_for("new/write")) == set(split_off)
+        assert set(relay.state.weights_for("c0/write")) == set(old.replicas_of("c0")) - set(split_off)
     found.core.handle_migration("inn3", "new", 2)
     found.run(2)
-    for relay in found.relays:
-        routes = relay.holdings.routes
+    for relay in found.proxies:
+        routes = relay.state.routes
         assert routes is not None
         assert home_cell("inn3", routes.cells, routes.cell_by_tenant) == "new"
         assert routes.generations["inn3"] == 2
--- a/tests/test_delivery_queue.py
+++ b/tests/test_delivery_queue.py
@@ -17,7 +17,7 @@
 from gradehoist.protocol import feed
 from gradehoist.protocol.proxy_state import AdmissionKey, ProxyState
 from tests.support.cell_fleet import fleet_with_cells
-from tests.support.governed_fleet import SECOND, entry
+from tests.support.governed_fleet import SECOND_US, make_endpoint
 
 CELLS, CLASSES, RELAYS = 4, 2, 3
 CHANNEL = ChannelLimits(
@@ -25,7 +25,7 @@
     lines_per_s=1000,
     message_overhead_lines=4.0,
     messages_per_window=20,
-    message_window_us=10 * SECOND,
+    message_window_us=10 * SECOND_US,
 )
 
 
@@ -40,7 +40,7 @@
         self.tables = PublishedTables(self.names, 4.0, route)
         self.parts = [PolicyInstance(n, f"c{n}", CLASSES) for n in range(CELLS)]
         self.ledger = DeliveryQueue(
-            self.tables, PolicySet(self.parts), ChannelShares(CELLS, CHANNEL, 2 * SECOND)
+            self.tables, PolicySet(self.parts), ChannelShares(CELLS, CHANNEL, 2 * SECOND_US)
         )
         self.held = [ProxyState() for _ in range(RELAYS)]
         for n in range(CELLS * 3):
@@ -141,28 +141,26 @@
 def test_a_drain_goes_at_once_while_every_cell_s_lines_crowd_the_channel() -> None:
     """Forty relays, twelve cells, a channel of 600 lines a second, all relays still being bound."""
     w = fleet_with_cells(12, 40, 48, queue=2_000, rate=600)
-    w.dial()
+    w.connect()
     w.run(5)
-    assert any(len(r.holdings.table_by_class) < 24 for r in w.relays)  # still bound, one after the other
-    w.list(entry(7, "draining"), entry(20, "draining"))
+    assert any(len(r.state.table_by_class) < 24 for r in w.proxies)  # still bound, one after the other
+    w.update_endpoints(make_endpoint(7, "draining"), make_endpoint(20, "draining"))
     w.run(1.9)
-    assert all({"w7", "w20"} <= r.holdings.withdrawn for r in w.relays)
+    assert all({"w7", "w20"} <= r.state.withdrawn for r in w.proxies)
     w.run(9)
-    assert all(len(r.holdings.table_by_class) >= 24 for r in w.relays)
-    assert all(set(r.holdings.weights_for("c3/write")) == {"w6", "w30", "w31"} for r in w.relays)
-    assert not any(r.pictures for r in w.relays) and w.most <= 2_000
+    assert all(len(r.state.table_by_class) >= 24 for r in w.proxies)
+    assert all(set(r.state.weights_for("c3/write")) == {"w6", "w30", "w31"} for r in w.proxies)
+    assert not any(r.resync_count for r in w.proxies) and w.peak_lines <= 2_000
 
 
 def test_a_relay_the_modules_have_not_heard_of_hears_of_a_drain_and_leaves_without_an_event() -> None:
     w = fleet_with_cells(12, 40, 48, queue=2_000, rate=300)
-    w.dial()
+    w.connect()
     w.run(3)
     assert isinstance(w.core.publisher, CellPublisher)
     gone, *strange = w.core.publisher.unintroduced
     w.core.remove_proxy(gone, "its connection closed")
     assert strange and not any(isinstance(e, i.ProxyLeft) for p in w.core.policies for e in p.events)
-    w.list(entry(9, "draining"))
+    w.update_endpoints(make_endpoint(9, "draining"))
     w.run(2)
-    assert all(
-        "w9" in r.holdings.withdrawn for r in w.relays if w.core.identifiers.proxies[r.name] in strange
-    )
+    assert all("w9" in r.state.withdrawn for r in w.proxies if w.core.identifiers.proxies[r.name] in strange)
--- a/tests/test_fleet_governors.py
+++ b/tests/test_fleet_governors.py
@@ -19,27 +19,37 @@
 from gradehoist.settings.fleet_parser import parse_settings
 from gradehoist.settings.reader import SettingsError, SettingsReader
 from gradehoist.testbed import etcd_server as standin
-from tests.support.governed_fleet import TEXT, entry
-from tests.support.governor_process import GRACE, Governor, Relay, Roster, play, settings, until
+from tests.support.governed_fleet import SETTINGS_TEMPLATE, make_endpoint
+from tests.support.governor_process import (
+    DRAIN_GRACE_S,
+    FakeEndpointList,
+    FakeProxy,
+    GovernorProcess,
+    run_async,
+    wait_until,
+    write_settings,
+)
 
 RATES = 'session="2s" lost="1s" contact="100ms"'
 
 
 @contextlib.asynccontextmanager
-async def pair(folder: Path, where: str) -> AsyncIterator[tuple[Roster, list[Governor], list[Relay]]]:
+async def pair(
+    folder: Path, where: str
+) -> AsyncIterator[tuple[FakeEndpointList, list[GovernorProcess], list[FakeProxy]]]:
     """Two governors of one register, a relay at each."""
-    roster, ports = Roster(), find_free_ports(2)
-    path = settings(
+    roster, ports = FakeEndpointList(), find_free_ports(2)
+    path = write_settings(
         folder, roster.port, ports[0], [("    reports", f"    coordination {where} {RATES}\n    reports")]
     )
     path.write_text(path.read_text() + f'governor "b" zone="y" listen="127.0.0.1:{ports[1]}"\n')
-    governors = [Governor(path, port, name) for port, name in zip(ports, "ab", strict=True)]
-    relays: list[Relay] = []
+    governors = [GovernorProcess(path, port, name) for port, name in zip(ports, "ab", strict=True)]
+    relays: list[FakeProxy] = []
     try:
         for g in governors:
-            await g.up()
-        relays += [Relay(port, f"r{n}") for n, port in enumerate(ports)]
-        assert await until(lambda: all(x.holdings.is_bound for x in relays), 10)
+            await g.wait_until_serving()
+        relays += [FakeProxy(port, f"r{n}") for n, port in enumerate(ports)]
+        assert await wait_until(lambda: all(x.state.is_bound for x in relays), 10)
         yield roster, governors, relays
     finally:
         for relay in relays:
@@ -49,20 +59,22 @@
         roster.server.abort()
 
 
-async def fleet_is(governor: Governor, seconds: float = 15.0, **wanted: object) -> None:
+async def fleet_is(governor: GovernorProcess, seconds: float = 15.0, **wanted: object) -> None:
     """Until its status says so."""
     end = asyncio.get_running_loop().time() + seconds
     while True:
         found = (await governor.status())["fleet"]
         if all(found[k] == v for k, v in wanted.items()):
             return
-        assert asyncio.get_running_loop().time() < end, (found, wanted, governor.log.read_text()[-2000:])
+        assert asyncio.get_running_loop().time() < end, (found, wanted, governor.log_path.read_text()[-2000:])
         await asyncio.sleep(0.05)
 
 
-async def drained(roster: Roster, relays: list[Relay], name: int) -> None:
-    roster.list(entry(name, "draining"))
-    assert await until(lambda: not any(x.sends_to(f"w{name}") for x in relays), GRACE), "a late drain"
+async def drained(roster: FakeEndpointList, relays: list[FakeProxy], name: int) -> None:
+    roster.publish(make_endpoint(name, "draining"))
+    assert await wait_until(
+        lambda: not any(x.sends_to(f"w{name}") for x in relays), DRAIN_GRACE_S
+    ), "a late drain"
 
 
 def test_governors_of_one_machine_see_each_other_and_lose_nothing_with_the_register(tmp_path: Path) -> None:
@@ -80,17 +92,19 @@
             (tmp_path / "register").write_text("no folder")
             await fleet_is(a, joined=False)
             await drained(roster, relays, 1)
-            assert "session_suspended" in a.log.read_text()
+            assert "session_suspended" in a.log_path.read_text()
             (tmp_path / "register").unlink()
             for g in (a, b):
                 await fleet_is(g, 40, joined=True, members={"here": 2})
-            assert a.log.read_text().count("process_fenced") == 1  # another register: told, nothing assumed
+            assert (
+                a.log_path.read_text().count("process_fenced") == 1
+            )  # another register: told, nothing assumed
             await drained(roster, relays, 2)
             b.process.send_signal(signal.SIGTERM)
-            assert await b.ended(5) == 0
+            assert await b.wait_for_exit(5) == 0
             await fleet_is(a, members={"here": 1, "suspected": 1})
 
-    play(work)
+    run_async(work)
 
 
 def test_governors_start_serve_and_end_while_the_engine_is_away(tmp_path: Path) -> None:
@@ -107,17 +121,17 @@
             await fleet_is(a, joined=False)
             await drained(roster, relays, 2)
             a.process.send_signal(signal.SIGTERM)
-            assert await a.ended(5) == 0
+            assert await a.wait_for_exit(5) == 0
 
-    play(work)
+    run_async(work)
 
 
 def test_a_governor_without_the_setting_has_no_part_of_it(tmp_path: Path) -> None:
     async def work() -> None:
-        roster, (port,) = Roster(), find_free_ports(1)
-        governor = Governor(settings(tmp_path, roster.port, port), port)
+        roster, (port,) = FakeEndpointList(), find_free_ports(1)
+        governor = GovernorProcess(write_settings(tmp_path, roster.port, port), port)
         try:
-            await governor.up()
+            await governor.wait_until_serving()
             assert (await governor.status())["fleet"] == {}
             response = await governor.client.request("GET", "/healthz")
             assert response.status == 404
@@ -125,7 +139,7 @@
             governor.kill()
             roster.server.abort()
 
-    play(work)
+    run_async(work)
 
 
 def test_a_bug_in_what_processes_share_ends_their_agreement_and_not_the_role(tmp_path: Path) -> None:
@@ -140,7 +154,7 @@
         member.failure_listeners.append(lambda: told.append("failed"))
         await member.run()
 
-    play(work)
+    run_async(work)
     assert told == ["coordination_failed", "failed"]
 
 
@@ -155,7 +169,9 @@
     ],
 )
 def test_settings_of_the_register_are_checked_with_place_and_remedy(node: str, said: str) -> None:
-    text = TEXT.format(relays=4, queue=2000, rate=2000).replace("    reports", f"    {node}\n    reports")
+    text = SETTINGS_TEMPLATE.format(relays=4, queue=2000, rate=2000).replace(
+        "    reports", f"    {node}\n    reports"
+    )
     reader = SettingsReader("s.kdl")
     parse_settings(reader.parse(text), Path("."))
     with pytest.raises(SettingsError, match="s.kdl:9: fleet > coordination") as fault:
--- a/tests/test_known_limits.py
+++ b/tests/test_known_limits.py
@@ -18,8 +18,16 @@
 from gradehoist.governor.service import GovernorService
 from gradehoist.scenario.free_ports import find_free_ports
 from gradehoist.settings.fleet_parser import read_settings
-from tests.support.governed_fleet import World, entry
-from tests.support.governor_process import GRACE, ROOT, Relay, Roster, play, settings, until
+from tests.support.governed_fleet import GovernedFleet, make_endpoint
+from tests.support.governor_process import (
+    DRAIN_GRACE_S,
+    REPOSITORY,
+    FakeEndpointList,
+    FakeProxy,
+    run_async,
+    wait_until,
+    write_settings,
+)
 
 
 @pytest.mark.xfail(strict=True, reason="F18: only the module orders withdrawals, and it is at work")
@@ -30,30 +38,30 @@
 
     async def handle(self: PolicyProcess, *given: Any) -> Any:
         if slow.pop():
-            await asyncio.sleep(2 * GRACE)
+            await asyncio.sleep(2 * DRAIN_GRACE_S)
         slow.append(False)
         return await usual(self, *given)
 
     async def work() -> None:
         monkeypatch.setattr(PolicyProcess, "handle", handle)
-        roster, (port,) = Roster(), find_free_ports(1)
-        found = read_settings(settings(tmp_path, roster.port, port))
+        roster, (port,) = FakeEndpointList(), find_free_ports(1)
+        found = read_settings(write_settings(tmp_path, roster.port, port))
         service = GovernorService(found.fleet, found.governors[0])
         running = asyncio.ensure_future(service.run())
-        relay = Relay(port, "r0")
+        relay = FakeProxy(port, "r0")
         try:
-            assert await until(lambda: relay.holdings.is_bound, 10)
+            assert await wait_until(lambda: relay.state.is_bound, 10)
             slow[:] = [True]
             await asyncio.sleep(0.2)
-            roster.list(entry(1, "draining"))
-            assert await until(lambda: not relay.sends_to("w1"), GRACE)
+            roster.publish(make_endpoint(1, "draining"))
+            assert await wait_until(lambda: not relay.sends_to("w1"), DRAIN_GRACE_S)
         finally:
             relay.task.cancel()
             service.stop()
             await running
             roster.server.abort()
 
-    play(work)
+    run_async(work)
 
 
 @pytest.mark.xfail(strict=True, reason="F21: keys have no age, and the protocol states none yet")
@@ -67,21 +75,21 @@
 
 @pytest.mark.xfail(strict=True, reason="F24: an index never gives a name back")
 def test_names_of_replicas_long_gone_are_given_back() -> None:
-    world = World(relays=1)
+    world = GovernedFleet(proxy_count=1)
     for n in range(100, 400):
-        world.list(entry(n))
-        world.list(entry(n, "gone"))
-    world.now += 2 * 3_600_000_000
-    world.list(whole=True)
+        world.update_endpoints(make_endpoint(n))
+        world.update_endpoints(make_endpoint(n, "gone"))
+    world.now_us += 2 * 3_600_000_000
+    world.update_endpoints(is_snapshot=True)
     assert len(world.core.identifiers.replicas) < 300
 
 
 @pytest.mark.xfail(strict=True, reason="F25: a day's processes do not watch the day")
 def test_a_day_that_is_killed_leaves_no_process(tmp_path: Path) -> None:
-    scene_path = str(ROOT / "scenarios" / "short.kdl")
+    scene_path = str(REPOSITORY / "scenarios" / "short.kdl")
     day = subprocess.Popen(
         [sys.executable, "-m", "gradehoist", "day", scene_path, "--quiet", "--out", str(tmp_path)],
-        cwd=ROOT,
+        cwd=REPOSITORY,
         stdout=subprocess.DEVNULL,
     )
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -45,7 +45,7 @@
 from gradehoist.testbed import scenario_plan as p
 from gradehoist.testbed.proxy import Proxy
 from gradehoist.testbed.proxy_process import ProxyProcess
-from tests.support.governed_fleet import entry, on_sockets
+from tests.support.governed_fleet import make_endpoint, make_loopback_settings
 
 ROOT = Path(__file__).parent.parent
 LOCAL = "127.0.0.1"
@@ -60,7 +60,7 @@
 
     def __init__(self) -> None:
         (self.port,) = find_free_ports(1)
-        self.version, self.entries, self.status, self.calls = 1, [entry(n) for n in range(4)], 200, 0
+        self.version, self.entries, self.status, self.calls = 1, [make_endpoint(n) for n in range(4)], 200, 0
         self.server = HttpServer(self.handle)
         self.server.listen(self.port, LOCAL)
 
@@ -81,7 +81,7 @@
 ) -> AsyncIterator[tuple[GovernorService, HttpClient]]:
     roster = Roster()
     (port,) = find_free_ports(1)
-    found = on_sockets(tmp_path, roster.port, port)
+    found = make_loopback_settings(tmp_path, roster.port, port)
     service = GovernorService(found.fleet, found.governors[0])
     if patience:
         service._server._timeouts = patience
