--- a/gradehoist/node/__init__.py
+++ b/gradehoist/node/__init__.py
@@ -1,1 +1,1 @@
-"""One governor on the platform: it speaks the line protocol, in one process."""
+"""The platform's governor node: a single process that serves proxies over the line protocol."""
--- a/gradehoist/node/__main__.py
+++ b/gradehoist/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gradehoist.node` is one node on the platform; its log is standard error."""
+"""Runs one platform node with `python -m gradehoist.node`; the node logs to standard error."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 def main() -> int:
-    """Runs a node with the configuration that ROUTER_CONFIG names, and returns the exit code."""
-    # The handlers come before the imports, which take a third of a second: SIGTERM then ended the process by
-    # the signal, and so did SIGHUP, which only says that the file has changed.
+    """Runs a node with the configuration file named by ROUTER_CONFIG and returns the exit code."""
+    # Install the signal handlers before the imports, which take a third of a second. With the default
+    # handlers, a SIGTERM in that time killed the process instead of stopping it cleanly, and so did a SIGHUP,
+    # which only reports that the file has changed.
     received_reloads = list[int]()
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     signal.signal(signal.SIGHUP, lambda number, _: received_reloads.append(number))
@@ -27,7 +28,7 @@
 
     path = os.environ.get(CONFIG_VARIABLE, "")
     if not path:
-        print(f"{CONFIG_VARIABLE}: not set; name the configuration file in it", file=sys.stderr)
+        print(f"{CONFIG_VARIABLE} is not set; set it to the path of the configuration file", file=sys.stderr)
         return EXIT_INVALID_CONFIG
     try:
         config = load_config(Path(path))
@@ -35,7 +36,8 @@
         print(error, file=sys.stderr)
         return EXIT_INVALID_CONFIG
     service = NodeService(config, Path(path))
-    gc.freeze()  # what is imported stays, so that collections look at newer objects alone
+    # Imported objects live as long as the process: exclude them so that collections scan newer objects only.
+    gc.freeze()
     return asyncio.run(service.run(reload_requested=lambda: bool(received_reloads)))
 
 
--- a/gradehoist/node/errors.py
+++ b/gradehoist/node/errors.py
@@ -4,4 +4,4 @@
 
 
 class NodeError(Exception):
-    """Base of the errors that the node's modules raise."""
+    """Base class of the errors raised in this package."""
