--- a/gradehoist/node/clock.py
+++ b/gradehoist/node/clock.py
@@ -8,15 +8,15 @@
 
 
 class SteadyUnixClock:
-    """Unix time that never steps back.
+    """Unix time that never steps backwards.
 
-    Endpoints state their starts in Unix time, and delays are measured by the same clock.
+    Endpoint start times are given in Unix time, and delays are measured with the same clock.
     """
 
     def __init__(self) -> None:
-        """Takes the offset of Unix time once, so that later steps of it do not count."""
+        """Reads the offset to Unix time once, so that later changes of the system clock have no effect."""
         self._offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
-        """Microseconds of Unix time."""
+        """Returns the Unix time in microseconds."""
         return (time.monotonic_ns() + self._offset_ns) // NANOSECONDS_PER_MICROSECOND
