--- a/gradehoist/node/config.py
+++ b/gradehoist/node/config.py
@@ -1,6 +1,6 @@
-"""The platform's configuration file: read and checked completely, returned as a frozen record.
+"""Reads and validates the platform's configuration file and returns it as a frozen record.
 
-The settings object inside it belongs to `gradehoist.settings.platform`.
+The `settings` object inside the file is parsed by `gradehoist.settings.platform`.
 """
 
 from __future__ import annotations
@@ -22,15 +22,16 @@
 from gradehoist.settings import platform
 
 DEFAULT_SOCKET_LIMIT = 1_024
-MIN_SOCKET_LIMIT = 64  # below this too few are left for proxies beside the node's own descriptors
+# A lower limit leaves too few descriptors for proxies after those that the node itself needs.
+MIN_SOCKET_LIMIT = 64
 EMPTY_ENDPOINT_LIST = {"revision": 0, "complete": True, "members": []}
 
 
 class ConfigError(NodeError):
-    """The configuration can't be used. The message is one line: file, setting, problem, remedy."""
+    """The configuration is unusable. The message is one line: file, setting, problem, remedy."""
 
     def __init__(self, path: Path, problem: str, remedy: str, setting: str = "") -> None:
-        """Names the setting at fault; empty where it is the whole file."""
+        """Builds the message; `setting` is empty if the problem concerns the whole file."""
         place = f"{path}: {setting}" if setting else f"{path}"
         super().__init__(f"{place}: {problem}; {remedy}")
         self.path = path
@@ -46,30 +47,30 @@
     port: int
 
     def __str__(self) -> str:
-        """The form IPV4:PORT."""
+        """Returns the address in the form IPV4:PORT."""
         return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """The checked configuration of one node."""
+    """The validated configuration of one node."""
 
     listen: Address
     discovery: Address
-    socket_limit: int  # descriptors that the process may hold
+    socket_limit: int  # the most descriptors that the process may hold
     policy_config: PolicyConfig
     identifiers: Identifiers
-    settings: dict[str, Any]  # as written, to see whether a reload changes them
-    cached_endpoints: EndpointListUpdate  # the endpoint list as this node last had it
+    settings: dict[str, Any]  # unparsed, to detect whether a reload changes them
+    cached_endpoints: EndpointListUpdate  # the last endpoint list known before the start
 
 
 def parse_address(text: object) -> Address:
     """Parses IPV4:PORT.
 
-    Host names are rejected: resolving one would block the event loop, and the platform has none.
+    Host names are rejected: resolving one would block the event loop, and the platform does not use any.
 
     Raises:
-        ValueError: The text is not such an address.
+        ValueError: The text is not an address of this form.
     """
     host, _, port = str(text).rpartition(":")
     try:
@@ -77,35 +78,35 @@
             raise ValueError
         return Address(str(ipaddress.IPv4Address(host)), int(port))
     except ValueError:
-        raise ValueError(f"{str(text)[:60]!r} is no address; write it as IPV4:PORT") from None
+        raise ValueError(f"{str(text)[:60]!r} is not an address; write it as IPV4:PORT") from None
 
 
 def seed_from_text(text: object) -> int:
-    """Maps any seed, hexadecimal or not, to the number that the policy needs."""
+    """Maps a seed of any form, hexadecimal or not, to the integer seed of the policy."""
     return zlib.crc32(str(text).encode())
 
 
 def load_config(path: Path) -> NodeConfig:
-    """Reads and checks the configuration file.
+    """Reads and validates the configuration file.
 
     Raises:
-        ConfigError: The file can't be read, is not JSON, or a setting is missing or invalid.
+        ConfigError: The file cannot be read or is not JSON, or a setting is missing or invalid.
     """
     document = _read_document(path)
-    with _checked(path, "listen"):
+    with _config_errors(path, "listen"):
         listen = parse_address(document["listen"])
-    with _checked(path, "discovery"):
+    with _config_errors(path, "discovery"):
         discovery = parse_address(document["discovery"])
-    with _checked(path, "limits.sockets"):
+    with _config_errors(path, "limits.sockets"):
         socket_limit = int(document.get("limits", {}).get("sockets", DEFAULT_SOCKET_LIMIT))
         if socket_limit < MIN_SOCKET_LIMIT:
-            raise ValueError(f"{socket_limit} are too few; allow {MIN_SOCKET_LIMIT} at least")
-    with _checked(path, "settings"):
+            raise ValueError(f"{socket_limit} is too low; allow at least {MIN_SOCKET_LIMIT}")
+    with _config_errors(path, "settings"):
         settings = document["settings"]
         identifiers = platform.parse_identifiers(settings)
         seed = seed_from_text(document.get("seed", ""))
         policy_config = platform.parse_config(settings, identifiers, seed)
-    with _checked(path, "known"):
+    with _config_errors(path, "known"):
         cached_endpoints = parse_update(document.get("known", EMPTY_ENDPOINT_LIST))
     return NodeConfig(
         listen=listen,
@@ -122,17 +123,19 @@
     try:
         document = msgspec.json.decode(path.read_bytes())
     except OSError as error:
-        raise ConfigError(path, f"{error.strerror}", "name a readable file in ROUTER_CONFIG") from None
+        raise ConfigError(
+            path, f"{error.strerror}", "set ROUTER_CONFIG to the path of a readable file"
+        ) from None
     except msgspec.DecodeError as error:
-        raise ConfigError(path, f"no JSON ({error})", "write the whole file anew") from None
+        raise ConfigError(path, f"not valid JSON ({error})", "rewrite the whole file") from None
     if not isinstance(document, dict):
-        raise ConfigError(path, "no JSON object", "write the whole file anew")
+        raise ConfigError(path, "not a JSON object", "rewrite the whole file")
     return document
 
 
 @contextlib.contextmanager
-def _checked(path: Path, setting: str) -> Iterator[None]:
-    """Turns what reading `setting` raises into a ConfigError that names it."""
+def _config_errors(path: Path, setting: str) -> Iterator[None]:
+    """Converts errors raised while `setting` is read into a ConfigError that names it."""
     try:
         yield
     except KeyError as error:
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -133,7 +133,8 @@
 
 
 @pytest.mark.parametrize(("text", "place"), [
-    (None, "ROUTER_CONFIG"), ("{", "no JSON"), ("[]", "no JSON object"), ('{"listen": "x"}', "listen: 'x'"),
+    (None, "ROUTER_CONFIG"), ("{", "not valid JSON"), ("[]", "not a JSON object"),
+    ('{"listen": "x"}', "listen: 'x'"),
     ('{"listen": "127.0.0.1:1"}', "discovery: 'discovery' is missing"),
     ('{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {}}', "settings: 'classes' is"),
     ('{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"classes": [{"name": "a",'
