--- a/gradehoist/node/connections.py
+++ b/gradehoist/node/connections.py
@@ -1,8 +1,8 @@
-"""Connections at the node's address: proxies, collectors of load reports, and peers that have not joined.
+"""Connections to the node's address: proxies, load report collectors, and peers that have not joined.
 
-A peer that has not joined holds a descriptor for JOIN_TIMEOUT_S at most, and the oldest of them gives way
-where descriptors run out. A joined stream is not closed for being slow or silent: its proxy would then be
-without a governor.
+A peer that has not joined may hold a descriptor for at most JOIN_TIMEOUT_S, and if descriptors run out, the
+oldest such peer is closed first. A joined stream is never closed for being slow or silent, because its proxy
+would be left without a governor.
 """
 
 from __future__ import annotations
@@ -21,45 +21,49 @@
 from gradehoist.protocol import lines
 from gradehoist.protocol.line_parser import MAX_MESSAGE_BYTES, LineParser
 
-JOIN_TIMEOUT_S = 1.5  # a peer may close a connection after one second, and its hello may have been delayed
-READ_TURN_BYTES = 16_384  # taken from one peer before all others are read: a flood of them takes 3 ms
-MAX_UNREAD_BYTES = 1 << 20  # that a peer may leave unread: several tables of a large site
-BACKLOG = 1_024
-NOT_A_PROXY = -1
+# Longer than the one second after which a peer may close a connection, as its hello may be delayed.
+JOIN_TIMEOUT_S = 1.5
+# The most that is read from one peer before the others get their turn. Processing this much from a flooding
+# peer takes 3 ms.
+READ_CHUNK_BYTES = 16_384
+# The most that may be queued for a peer that does not read: several tables of a large site.
+MAX_UNREAD_BYTES = 1 << 20
+LISTEN_BACKLOG = 1_024
+NO_PROXY = -1
 
 
 class Connection:
-    """One peer's connection, and who it said it is."""
+    """A peer's connection and the identity that the peer has announced."""
 
     def __init__(self, stream: IOStream, accepted_s: float) -> None:
-        """Starts as a peer that has not joined, accepted at this monotonic time in seconds."""
+        """Starts with a peer that has not joined, accepted at the monotonic time `accepted_s`."""
         self.stream = stream
-        self.accepted_s = accepted_s  # monotonic time
+        self.accepted_s = accepted_s
         self.parser = LineParser()
         self.is_collector = False
-        self.deferred_health_checks = 0  # health checks of this node that came before it was ready
-        self.proxy = NOT_A_PROXY
-        self.stream_id = 0  # of a proxy's stream
+        self.deferred_health_checks = 0  # health checks received before the node was ready
+        self.proxy = NO_PROXY
+        self.stream_id = 0  # set for proxies only
 
     @property
     def is_proxy(self) -> bool:
-        """Whether it is a proxy's stream."""
-        return self.proxy != NOT_A_PROXY
+        """Whether this is the stream of a proxy."""
+        return self.proxy != NO_PROXY
 
     @property
     def has_joined(self) -> bool:
-        """Whether the peer has said who it is."""
+        """Whether the peer has announced itself as a proxy or a collector."""
         return self.is_collector or self.is_proxy
 
     def __str__(self) -> str:
-        """Names the peer for the log."""
+        """Returns a description of the peer for the log."""
         if self.is_proxy:
             return f"proxy {self.proxy}"
         return "a collector" if self.is_collector else "a peer that has not joined"
 
 
 class ConnectionServer:
-    """Accepts peers, hands their messages to the core and writes to proxies."""
+    """Accepts peers, passes their messages to the core and writes to proxies."""
 
     def __init__(
         self,
@@ -68,7 +72,7 @@
         log: NodeLog,
         max_connections: int,
     ) -> None:
-        """Prepares to serve at most `max_connections` peers at once."""
+        """Creates a server for at most `max_connections` concurrent peers; it does not listen yet."""
         self._runner = runner
         self._core = runner.core
         self._clock = runner.clock
@@ -77,36 +81,36 @@
         self._max_connections = max_connections
         self._listener = Listener(self._accept)
         self._connections: dict[Connection, None] = {}
-        self._unjoined: dict[Connection, None] = {}  # the oldest first
+        self._unjoined: dict[Connection, None] = {}  # oldest first
         self._by_proxy: dict[int, Connection] = {}
         self.is_ready = False
         self.rejected_count = 0
 
     def __len__(self) -> int:
-        """The number of open connections."""
+        """Returns the number of open connections."""
         return len(self._connections)
 
     def listen(self, host: str, port: int) -> None:
-        """Starts to accept connections.
+        """Starts accepting connections.
 
         Raises:
-            OSError: The address can't be bound.
+            OSError: The address cannot be bound.
         """
-        self._listener.listen(port, host, backlog=BACKLOG)
+        self._listener.listen(port, host, backlog=LISTEN_BACKLOG)
 
     def stop(self) -> None:
-        """Stops to accept connections."""
+        """Stops accepting connections."""
         self._listener.stop()
 
     def set_ready(self) -> None:
-        """Answers the health checks of this node: those deferred so far, and from now on each at once."""
+        """Answers the deferred health checks; from now on each health check is answered at once."""
         self.is_ready = True
         for connection in list(self._connections):
             if connection.deferred_health_checks:
                 self.send(connection, lines.HEALTHY_RESPONSE * connection.deferred_health_checks)
 
     def reject_overdue(self) -> None:
-        """Closes the connections that have not joined in time."""
+        """Closes connections whose peers did not join within JOIN_TIMEOUT_S."""
         deadline_s = time.monotonic() - JOIN_TIMEOUT_S
         while self._unjoined:
             oldest = next(iter(self._unjoined))
@@ -132,10 +136,10 @@
     async def _serve(self, connection: Connection) -> None:
         try:
             while True:
-                data = await read_available(connection.stream, READ_TURN_BYTES)
+                data = await read_available(connection.stream, READ_CHUNK_BYTES)
                 if connection not in self._connections:
-                    # Rejected or replaced since the read was done: a hello in it would end the stream that
-                    # the proxy has now.
+                    # The connection was rejected or replaced after the read completed. A hello in this data
+                    # would end the proxy's current stream.
                     return
                 self._receive(connection, data)
         except (StreamClosedError, ConnectionError):
@@ -151,7 +155,8 @@
         try:
             for message in connection.parser.receive(data):
                 self._on_message(connection, message)
-        finally:  # what was valid counts at once, whatever came behind it
+        finally:
+            # Events of valid messages are processed promptly even if later data is malformed.
             if self._core.pending_events:
                 self._runner.schedule()
         if connection.parser.failure:
@@ -190,13 +195,13 @@
         if hello.zone not in self._core.identifiers.zones:
             raise lines.LineProtocolError(f"no zone {hello.zone}")
         connection.is_collector = True
-        self._set_identified(connection)
+        self._mark_joined(connection)
 
     def on_proxy_hello(self, connection: Connection, hello: lines.ProxyHello) -> None:
-        """Makes a connection the stream of a proxy; an earlier stream of the proxy is closed.
+        """Makes the connection the current stream of a proxy and closes the proxy's earlier stream, if any.
 
         Raises:
-            lines.LineProtocolError: No such proxy or zone exists.
+            lines.LineProtocolError: The proxy or zone does not exist.
         """
         try:
             connection.stream_id = self._core.on_proxy_joined(self._clock.now_us(), hello)
@@ -205,24 +210,24 @@
         connection.proxy = hello.proxy
         replaced = self._by_proxy.get(hello.proxy)
         self._by_proxy[hello.proxy] = connection
-        self._set_identified(connection)
+        self._mark_joined(connection)
         if replaced is not None:
-            self.close(replaced)  # nothing that it sent counts from here on
+            self.close(replaced)  # anything still unread from it is ignored
 
-    def _set_identified(self, connection: Connection) -> None:
+    def _mark_joined(self, connection: Connection) -> None:
         connection.parser.is_identified = True
         self._unjoined.pop(connection, None)
 
     # Writing and closing
 
     def send_to_proxy(self, message: OutboundMessage) -> None:
-        """Writes to a proxy's stream, if it is still the current one."""
+        """Writes to a proxy's stream if the message was addressed to the current one."""
         connection = self._by_proxy.get(message.proxy)
         if connection is not None and connection.stream_id == message.stream_id:
             self.send(connection, message.data)
 
     def send(self, connection: Connection, data: bytes) -> None:
-        """Writes to a connection; one that leaves too much unread is closed."""
+        """Writes to a connection; closes it if the peer leaves more than MAX_UNREAD_BYTES unread."""
         try:
             connection.stream.write(data)
         except StreamClosedError:
@@ -238,13 +243,13 @@
         self._log.write(f"protocol error from {connection}: {reason}")
 
     def reject(self, connection: Connection, reason: str) -> None:
-        """Sends a peer that has not joined an error, and closes its connection."""
+        """Sends an error to a peer that has not joined and closes its connection."""
         self.rejected_count += 1
         self.send(connection, lines.format_error(reason))
         self.close(connection)
 
     def close(self, connection: Connection) -> None:
-        """Closes a connection; a proxy whose current stream it is has left."""
+        """Closes a connection; if it is the current stream of a proxy, the proxy has left."""
         connection.stream.close()
         self._connections.pop(connection, None)
         self._unjoined.pop(connection, None)
