--- a/gradehoist/node/core.py
+++ b/gradehoist/node/core.py
@@ -1,8 +1,9 @@
-"""The node without I/O: events of streams, discovery and health checks in; messages and log lines out.
+"""The node's logic without I/O.
 
-The core hands the events to the policy and carries out its orders at once: the platform's channel paces what
-is written, and the policy keeps account of the channel's limits. Times are whole microseconds of Unix time
-that never steps back.
+Its input is events from streams, discovery and health checks; its output is messages, health checks to start
+and log lines. The core passes the events to the policy and carries out the policy's orders immediately: the
+platform's channel paces the messages, and the policy tracks the channel's limits. Times are integer
+microseconds of a Unix time that never steps backwards.
 """
 
 from __future__ import annotations
@@ -51,13 +52,13 @@
 
 
 class JoinRejectedError(NodeError):
-    """A proxy's hello names a proxy or zone that does not exist. The message goes to the peer."""
+    """A proxy's hello names a proxy or zone that does not exist. The message is sent to the peer."""
 
 
 class NodeCore:
-    """One node's state.
+    """The state of one node.
 
-    Whoever runs it takes `outbound`, `due_health_checks` and `log_lines` after each `advance`.
+    After each `advance` the caller takes the contents of `outbound`, `due_health_checks` and `log_lines`.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         now_us: int,
         is_traced: bool = False,
     ) -> None:
-        """Starts the policy from the cached endpoint list."""
+        """Starts the policy with the cached endpoint list."""
         self.identifiers = identifiers
         self.policy_config = policy_config
         self.policy = Planner(policy_config, now_us)
@@ -80,8 +81,8 @@
         self.outbound: list[OutboundMessage] = []
         self.due_health_checks: list[int] = []
         self.log_lines: list[str] = []
-        self._replica_zones: dict[str, str] = {}  # the last zone of each replica that the settings name
-        self._timers: list[tuple[int, int]] = []  # a heap of time and token
+        self._replica_zones: dict[str, str] = {}  # by replica: its last zone that is in the settings
+        self._timers: list[tuple[int, int]] = []  # heap of (due time, token)
         self._trace = PolicyTrace(identifiers) if is_traced else None
         cached = self.endpoint_list.apply_update(cached_endpoints) or ()
         self.pending_events.append(EndpointsListed(EndpointListKind.CACHED, self._endpoints(cached)))
@@ -89,12 +90,12 @@
     # Events
 
     def on_endpoint_update(self, update: EndpointListUpdate, watch_id: int = NO_WATCH) -> None:
-        """Takes an update from a watch. Watches opened later have higher numbers."""
+        """Handles an update from a watch. Watches opened later have higher ids."""
         known = dict(self.endpoint_list.endpoints)
         changed = self.endpoint_list.apply_update(update, watch_id)
         if changed is None:
             return
-        # Of a snapshot that was passed over as outdated only drains are reported: what it lacks is not gone.
+        # Only the drains of an outdated snapshot are reported: replicas missing from it are not gone.
         is_snapshot = update.is_snapshot and update.revision == self.endpoint_list.revision
         kind = EndpointListKind.SNAPSHOT if is_snapshot else EndpointListKind.DELTA
         self.pending_events.append(EndpointsListed(kind, self._endpoints(changed)))
@@ -118,7 +119,8 @@
         zone = listed.zone
         if zone not in self.identifiers.zones:
             self.malformed.add("endpoint", f"zone {zone!r} is not in the settings")
-            # That must not hide a drain or exit of a replica that is known by another zone.
+            # An unknown zone must not hide the drain or exit of a replica that was listed in a known zone
+            # before.
             known_zone = self._replica_zones.get(listed.replica)
             if known_zone is None:
                 return None
@@ -135,10 +137,10 @@
         )
 
     def on_proxy_joined(self, now_us: int, hello: lines.ProxyHello) -> int:
-        """Opens a proxy's stream and returns its number; an earlier stream of the proxy has left.
+        """Opens a stream for a proxy and returns its id; an earlier stream of the proxy is ended.
 
         Raises:
-            JoinRejectedError: No such proxy or zone exists.
+            JoinRejectedError: The proxy or zone does not exist.
         """
         if hello.proxy >= self.policy_config.proxy_count:
             raise JoinRejectedError(f"no proxy {hello.proxy}")
@@ -159,7 +161,7 @@
         return stream.stream_id
 
     def on_proxy_left(self, proxy: int, stream_id: int, reason: str) -> None:
-        """Takes the end of a stream; the late end of an earlier one changes nothing."""
+        """Handles the end of a stream; the late end of an earlier stream is ignored."""
         if self.streams.find(proxy, stream_id) is None:
             return
         del self.streams.by_proxy[proxy]
@@ -168,7 +170,7 @@
         self.log_lines.append(f"proxy {proxy} left: {reason}")
 
     def on_stream_active(self, now_us: int, proxy: int, stream_id: int) -> None:
-        """Notes that something came over a stream."""
+        """Records that data arrived on a stream."""
         stream = self.streams.find(proxy, stream_id)
         if stream is not None:
             stream.last_active_us = now_us
@@ -176,13 +178,13 @@
     def on_acknowledged(
         self, now_us: int, proxy: int, stream_id: int, acknowledgement: lines.Acknowledgement
     ) -> None:
-        """Takes an acknowledgement; one over an earlier stream changes nothing."""
+        """Handles an acknowledgement; one from an earlier stream is ignored."""
         stream = self.streams.find(proxy, stream_id)
         if stream is None:
             return
         is_own = acknowledgement.proxy == proxy
         if not is_own or not self.streams.acknowledge(now_us, stream, acknowledgement):
-            self.malformed.add("ack", "of another proxy, or of a revision that waits for none")
+            self.malformed.add("ack", "from another proxy, or for a revision that is not awaiting one")
             return
         event = UpdateAcknowledged(
             proxy=proxy, revision=acknowledgement.revision, elapsed_us=acknowledgement.elapsed_us
@@ -190,13 +192,16 @@
         self.pending_events.append(event)
 
     def on_demand_reported(self, demand: lines.Demand, reporter: int | None) -> None:
-        """Takes the requests offered to a proxy, from its own stream or (reporter None) from a collector."""
+        """Handles a report of requests offered to a proxy.
+
+        `reporter` is the proxy that sent the report, or None for a collector.
+        """
         is_authorized = reporter is None or reporter == demand.proxy
         if not is_authorized or demand.request_class not in self.identifiers.classes:
-            self.malformed.add("demand", "an unknown class, or of another proxy")
+            self.malformed.add("demand", "unknown class, or a report for another proxy")
             return
         if demand.proxy not in self.streams.by_proxy:
-            self.malformed.add("demand", "of a proxy that has not joined")
+            self.malformed.add("demand", "report for a proxy that has not joined")
             return
         event = RequestsOffered(
             proxy=demand.proxy,
@@ -208,9 +213,9 @@
         self.pending_events.append(event)
 
     def on_outcomes_reported(self, outcomes: lines.AttemptOutcomes) -> None:
-        """Takes what the proxies of one zone met at a replica."""
+        """Handles the outcomes of attempts that the proxies of one zone made at a replica."""
         if outcomes.zone not in self.identifiers.zones or outcomes.replica not in self.identifiers.replicas:
-            self.malformed.add("outcomes", "an unknown zone or replica")
+            self.malformed.add("outcomes", "unknown zone or replica")
             return
         load = None if outcomes.load is None else platform.parse_load_report(outcomes.load)
         replica = self.identifiers.replicas[outcomes.replica]
@@ -230,22 +235,22 @@
     def on_health_checked(
         self, replica: int, outcome: HealthCheckOutcome, elapsed_us: int, load: LoadReport | None
     ) -> None:
-        """Takes the result of a health check that the policy ordered."""
+        """Handles the result of a health check that the policy ordered."""
         event = HealthChecked(replica=replica, outcome=outcome, elapsed_us=elapsed_us, load=load)
         self.pending_events.append(event)
 
     def on_malformed_message(self, message: lines.MalformedLine) -> None:
-        """Counts a message of a joined peer that can't be used."""
+        """Counts a malformed message from a joined peer."""
         self.malformed.add(message.kind, message.reason)
 
     # Time and orders
 
     def next_timer_us(self) -> int | None:
-        """When the next timer is due, or None."""
+        """Returns when the next timer is due, or None if there is none."""
         return self._timers[0][0] if self._timers else None
 
     def advance(self, now_us: int) -> None:
-        """Fires due timers, hands all pending events to the policy and carries out its orders."""
+        """Fires due timers, passes all pending events to the policy and carries out its orders."""
         while self._timers and self._timers[0][0] <= now_us:
             _, token = heapq.heappop(self._timers)
             self.pending_events.append(TimerFired(token))
@@ -265,7 +270,7 @@
                 case SetTimer(token, delay_us):
                     heapq.heappush(self._timers, (now_us + delay_us, token))
                 case SubscribeEndpoints() | RequestEndpoints():
-                    pass  # the watch is always open, and its first line holds what was missed
+                    pass  # a watch is always open, and its first line covers all changes that were missed
                 case LogRemark(text):
                     self.log_lines.append(f"policy: {text}")
                 case BindProxy():
@@ -292,7 +297,7 @@
         )
 
     def take_trace(self) -> list[str]:
-        """The lines of a trace since the last one; none where tracing is off."""
+        """Returns the trace lines since the last call, or none if tracing is off."""
         if self._trace is None:
             return []
         return self._trace.take_lines(self.policy, self.endpoint_list.endpoints, self.tables.withdrawn)
