--- a/gradehoist/node/discovery.py
+++ b/gradehoist/node/discovery.py
@@ -1,7 +1,7 @@
 """The discovery watch protocol, without I/O.
 
-A watch is a chunked HTTP response that does not end; each line of its body is one JSON object, cut into
-chunks anywhere. What the updates do to the endpoint list is the concern of `endpoint_list`.
+A watch is a chunked HTTP response without an end. Each line of its body is one JSON object; chunk boundaries
+may fall anywhere. `endpoint_list` applies the updates to the endpoint list.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 from gradehoist.protocol import http
 from gradehoist.protocol.http_parser import Parser
 
-HEARTBEAT_PERIOD_US = 2_000_000  # discovery sends an empty line as often while nothing changes
-MAX_LINE_BYTES = 16 << 20  # a list of a hundred thousand replicas
+HEARTBEAT_PERIOD_US = 2_000_000  # discovery sends an empty line at this interval while nothing changes
+MAX_LINE_BYTES = 16 << 20  # enough for a list of a hundred thousand replicas
 MAX_TEXT_LENGTH = 128
-MAX_FIGURE = 1e9
+MAX_NUMBER = 1e9
 MAX_UNIX_TIME_MS = 1e14
 STATUS_OK = 200
 PHASES = {"active": Phase.READY, "leaving": Phase.DRAINING, "left": Phase.GONE}
-RESERVED_CHARACTERS = frozenset(" ,:+=\r\n")  # they separate the words of an order on a proxy's stream
+RESERVED_CHARACTERS = frozenset(" ,:+=\r\n")  # separators in the push messages sent to proxies
 
 
 class WatchLostError(NodeError):
-    """The watch is of no further use, and a new one is to be opened.
+    """The watch failed, and a new one has to be opened.
 
     Attributes:
-        updates: Those completed before the failure; they are valid.
+        updates: The updates received before the failure. They are valid.
     """
 
     def __init__(self, reason: str, updates: Sequence[EndpointListUpdate] = ()) -> None:
-        """Says why, and which updates came before."""
+        """Takes the reason and the updates received before the failure."""
         super().__init__(reason)
         self.updates = tuple(updates)
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveredEndpoint:
-    """One endpoint as discovery sent it; a field that is missing or malformed is None."""
+    """An endpoint as sent by discovery; a missing or malformed field is None."""
 
     replica: str
     address: str | None
@@ -51,12 +51,12 @@
     cell: int | None
     phase: Phase | None
     size: float | None
-    started_us: int | None  # Unix time; 0: long ago
+    started_us: int | None  # Unix time; 0 means long ago
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A complete snapshot of the endpoint list, or a delta on the revision before."""
+    """A snapshot of the endpoint list, or a delta to the previous revision."""
 
     revision: int
     is_snapshot: bool
@@ -64,18 +64,19 @@
 
 
 def parse_endpoint(entry: object) -> DiscoveredEndpoint | None:
-    """Reads an endpoint field by field, as a malformed field must not hide a drain.
+    """Parses an endpoint field by field, because a malformed field must not hide a drain.
 
     Returns:
-        None where no replica is named, or by a name that can't be written in an order.
+        The endpoint, or None if the replica's name is missing or contains characters that a push message
+        cannot carry.
     """
     if not isinstance(entry, dict):
         return None
     replica = _parse_text(entry.get("id"))
     if replica is None or not RESERVED_CHARACTERS.isdisjoint(replica):
         return None
-    cell = _parse_figure(entry.get("cell", 0), MAX_FIGURE)
-    started_ms = _parse_figure(entry.get("up_since_ms", 0), MAX_UNIX_TIME_MS)
+    cell = _parse_number(entry.get("cell", 0), MAX_NUMBER)
+    started_ms = _parse_number(entry.get("up_since_ms", 0), MAX_UNIX_TIME_MS)
     return DiscoveredEndpoint(
         replica=replica,
         address=_parse_text(entry.get("host_port")),
@@ -83,23 +84,23 @@
         kind=_parse_text(entry.get("flavor")),
         cell=None if cell is None else int(cell),
         phase=_parse_phase(entry.get("phase")),
-        size=_parse_figure(entry.get("size", 1.0), MAX_FIGURE),
+        size=_parse_number(entry.get("size", 1.0), MAX_NUMBER),
         started_us=None if started_ms is None else round(started_ms * 1_000),
     )
 
 
 def parse_update(document: object) -> EndpointListUpdate:
-    """Reads one decoded line of the watch.
+    """Parses one decoded line of the watch.
 
     Raises:
-        ValueError: It is not an update of an endpoint list.
+        ValueError: The line is not an endpoint list update.
     """
     if not isinstance(document, Mapping):
-        raise ValueError("no object")
+        raise ValueError("not an object")
     revision = document.get("revision")
     entries = document.get("members", [])
     if isinstance(revision, bool) or not isinstance(revision, int) or not isinstance(entries, list):
-        raise ValueError("no revision, or no list of members")
+        raise ValueError("missing revision, or members is not a list")
     endpoints = [endpoint for endpoint in map(parse_endpoint, entries) if endpoint is not None]
     return EndpointListUpdate(
         revision=revision,
@@ -108,7 +109,7 @@
     )
 
 
-def _parse_figure(value: object, maximum: float) -> float | None:
+def _parse_number(value: object, maximum: float) -> float | None:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
     return float(value) if math.isfinite(value) and 0 <= value <= maximum else None
@@ -123,10 +124,10 @@
 
 
 class DiscoveryWatch:
-    """The client's end of one watch."""
+    """The client side of one watch."""
 
     def __init__(self) -> None:
-        """Starts before the first byte of the response."""
+        """Creates a watch that expects the first byte of the response."""
         limits = http.Limits(max_body_bytes=MAX_LINE_BYTES)
         self._parser = Parser(http.Role.CLIENT, limits, stream_body=True)
         self._parser.expect_response("GET")
@@ -135,14 +136,14 @@
 
     @staticmethod
     def request(host: str, revision: int) -> bytes:
-        """The request that opens the watch and asks for what is newer than `revision`."""
+        """Returns the request that opens a watch for changes after `revision`."""
         return http.format_request("GET", f"/registry/instances?watch=1&from={revision}", host)
 
     def receive(self, data: bytes) -> list[EndpointListUpdate]:
-        """Takes received bytes and returns the updates that they complete.
+        """Parses received bytes and returns the updates that they complete.
 
         Raises:
-            WatchLostError: The response is no watch, has ended, or holds a malformed line.
+            WatchLostError: The response is not a watch, has ended, or contains a malformed line.
         """
         try:
             events = self._parser.receive(data)
@@ -168,12 +169,13 @@
                 updates.append(self._parse_line(line, updates))
         self._line += rest
         if len(self._line) > MAX_LINE_BYTES:
-            raise WatchLostError(f"a line of over {MAX_LINE_BYTES} bytes", updates)
+            raise WatchLostError(f"line longer than {MAX_LINE_BYTES} bytes", updates)
 
     @staticmethod
     def _parse_line(line: bytes, updates: list[EndpointListUpdate]) -> EndpointListUpdate:
         try:
             return parse_update(msgspec.json.decode(line))
         except (msgspec.DecodeError, ValueError) as error:
-            # Without the updates before it, a drain was lost until the next watch had repeated it.
+            # Keep the updates before the malformed line: a drain among them would otherwise be delayed until
+            # the next watch repeats it.
             raise WatchLostError(f"a malformed line: {error}", updates) from None
--- a/gradehoist/node/discovery_client.py
+++ b/gradehoist/node/discovery_client.py
@@ -1,4 +1,4 @@
-"""Keeps a watch on discovery open, and hands its updates to the core."""
+"""Keeps a discovery watch open and passes its updates to the core."""
 
 from __future__ import annotations
 
@@ -19,21 +19,24 @@
 
 MICROSECONDS_PER_SECOND = 1e6
 CONNECT_TIMEOUT_S = 1.0
-SILENCE_TIMEOUT_S = 3 * HEARTBEAT_PERIOD_US / 2 / MICROSECONDS_PER_SECOND  # one heartbeat and a half
+SILENCE_TIMEOUT_S = 3 * HEARTBEAT_PERIOD_US / 2 / MICROSECONDS_PER_SECOND  # one and a half heartbeat periods
 MIN_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 1.0
-READ_TURN_BYTES = 1 << 18
+READ_CHUNK_BYTES = 1 << 18
 
 
 class WatchEnd(NamedTuple):
-    """Why a watch ended, and whether it had been open."""
+    """Why a watch ended, and whether discovery had accepted it before that."""
 
     reason: str
     was_open: bool
 
 
 class DiscoveryClient:
-    """Watches one address at a time; after a move the former watch goes on until it ends."""
+    """Watches one discovery address.
+
+    After a change of the address the previous watch stays open until it ends by itself.
+    """
 
     def __init__(
         self,
@@ -41,28 +44,28 @@
         tasks: BackgroundTasks,
         log: NodeLog,
     ) -> None:
-        """Watches nothing until `watch` is called."""
+        """Creates a client that is idle until `watch` is called."""
         self._runner = runner
         self._core = runner.core
         self._tasks = tasks
         self._log = log
         self._current: asyncio.Task[None] | None = None
         self._watches_opened = 0
-        self._streams: dict[int, IOStream] = {}  # of the open watches, by their numbers
+        self._streams: dict[int, IOStream] = {}  # of the open watches, by watch id
         self.has_answered = asyncio.Event()
 
     @property
     def is_watching(self) -> bool:
-        """Whether any address has been watched yet."""
+        """Whether `watch` has been called."""
         return self._current is not None
 
     def watch(self, address: Address) -> None:
-        """Watches this address from now on."""
+        """Starts watching this address instead of the previous one."""
         self._current = self._tasks.start(self._keep_watching(address))
 
     async def _keep_watching(self, address: Address) -> None:
-        # The task and not the address tells whether it is the current one: an address that was left and came
-        # back was otherwise watched twice for good.
+        # Compare tasks, not addresses: after a change to another address and back, comparing addresses left
+        # two tasks that watched the same address indefinitely.
         delay_s = MIN_RETRY_DELAY_S
         while self._current is asyncio.current_task():
             end = await self._watch_once(address)
@@ -103,21 +106,26 @@
         stream.write(watch.request(str(address), self._core.endpoint_list.revision))
 
     async def _read_updates(self, stream: IOStream, watch: DiscoveryWatch, watch_id: int) -> str:
-        """Reads until the watch is lost and returns the reason; the stream's end and silence raise."""
+        """Reads updates until the watch is lost and returns the reason.
+
+        Raises:
+            StreamClosedError: The stream was closed.
+            TimeoutError: No data arrived within SILENCE_TIMEOUT_S.
+        """
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + SILENCE_TIMEOUT_S
         while True:
             async with asyncio.timeout(SILENCE_TIMEOUT_S):
-                data = await read_available(stream, READ_TURN_BYTES)
+                data = await read_available(stream, READ_CHUNK_BYTES)
             reason = self._receive(data, watch, watch_id)
             if reason is not None:
                 return reason
             if not watch.is_open and loop.time() > deadline_s:
-                # Bytes came, but no response that is a watch: without this they passed for signs of life.
+                # Data arrives, but no watch response. Without this check such data counted as heartbeats.
                 return "no watch response"
 
     def _receive(self, data: bytes, watch: DiscoveryWatch, watch_id: int) -> str | None:
-        """Takes received bytes, and returns why the watch is lost, if it is."""
+        """Processes received bytes; returns the reason if the watch is lost, or None."""
         reason = None
         try:
             updates = watch.receive(data)
@@ -129,5 +137,5 @@
         if watch.is_open:
             self.has_answered.set()
         if self._core.pending_events:
-            self._runner.schedule(0.0)  # a drain waits for nothing
+            self._runner.schedule(0.0)  # a drain must not wait for the batching delay
         return reason
