--- a/gradehoist/node/endpoint_list.py
+++ b/gradehoist/node/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list as this node holds it, and what updates from one or more watches do to it.
+"""The node's copy of the endpoint list, which is updated from one or more watches.
 
-After SIGHUP the watch of the former address goes on beside the new one, so updates may come twice, late, and
-in any order. No order of arrival may undo a drain or hide one.
+After SIGHUP the watch on the previous address stays open beside the new one, so updates may arrive twice,
+late and in any order. No order of arrival may undo or hide a drain.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from gradehoist.interface import Phase
 from gradehoist.node.discovery import DiscoveredEndpoint, EndpointListUpdate
 
-NO_WATCH = 0  # the number of no watch: the source of the list from the configuration file
+NO_WATCH = 0  # watch id of the endpoint list from the configuration file
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """One endpoint of the held list, complete in every field but the address."""
+    """An endpoint of the list; only the address may be unknown."""
 
     replica: str
     address: str | None
@@ -27,11 +27,11 @@
     cell: int
     phase: Phase
     size: float
-    started_us: int  # Unix time; 0: long ago
+    started_us: int  # Unix time; 0 means long ago
 
 
 class _LastUpdate(NamedTuple):
-    """The update that an endpoint was last taken from."""
+    """Revision and watch of the last update that changed an endpoint."""
 
     revision: int
     watch_id: int
@@ -41,24 +41,25 @@
 
 
 class EndpointList:
-    """The endpoints that discovery lists, by replica name."""
+    """The endpoints listed by discovery, by replica name."""
 
     def __init__(self) -> None:
-        """Starts empty, at revision 0."""
+        """Creates an empty list at revision 0."""
         self.revision = 0
         self.endpoints: dict[str, ListedEndpoint] = {}
-        self._watch_revisions: dict[int, int] = {}  # the last revision of each open watch that has sent one
-        self._stale_watches = set[int]()  # the open watches whose snapshot was passed over as older
+        self._watch_revisions: dict[int, int] = {}  # by watch id: the last revision that an open watch sent
+        self._stale_watches = set[int]()  # open watches whose snapshot was rejected as outdated
         self._last_updates: dict[str, _LastUpdate] = {}
 
     def apply_update(
         self, update: EndpointListUpdate, watch_id: int = NO_WATCH
     ) -> list[ListedEndpoint] | None:
-        """Applies an update and returns the endpoints to report, or None where nothing is new.
+        """Applies an update and returns the endpoints to report, or None if it brings nothing new.
 
-        Of an update that is older than the held list only drains and exits count. A snapshot is older where
-        it is behind another open watch as well; where no other is open, discovery has started over, and the
-        snapshot is taken.
+        Only the drains and exits of an outdated update are applied. A delta is outdated if its revision is
+        not newer than the list's. A snapshot is outdated if it is older than both the list and the last
+        revision of another open watch. If no other watch is open, an older snapshot means that discovery has
+        restarted its revisions, and the snapshot replaces the list.
         """
         is_outdated = self._is_outdated(update, watch_id)
         if watch_id != NO_WATCH:
@@ -68,7 +69,7 @@
             known = self.endpoints.get(received.replica)
             if is_outdated and not self._is_new_drain(received, known, update.revision, watch_id):
                 continue
-            endpoint = _complete(received, known)
+            endpoint = _fill_missing_fields(received, known)
             if endpoint is not None:
                 changed.append(endpoint)
         if not is_outdated:
@@ -84,11 +85,12 @@
         return changed
 
     def end_watch(self, watch_id: int) -> list[int]:
-        """Forgets a watch that has ended.
+        """Removes a watch that has ended.
 
         Returns:
-            The watches to close and open again: their snapshots were passed over on the word of the ended
-            one, and they have not caught up since. What they send first is then taken, whatever its revision.
+            The ids of the watches to reopen. Their snapshots were rejected because the ended watch had sent a
+            newer revision, and they have not caught up since. After they are reopened, their first snapshot
+            is applied whatever its revision.
         """
         self._watch_revisions.pop(watch_id, None)
         self._stale_watches.discard(watch_id)
@@ -116,15 +118,16 @@
         revision: int,
         watch_id: int,
     ) -> bool:
-        """Whether an outdated entry brings a drain or an exit of an endpoint that is listed as ready."""
+        """Whether an outdated entry reports a drain or an exit of an endpoint that is listed as ready."""
         if received.phase not in (Phase.DRAINING, Phase.GONE):
             return False
         if known is None or known.phase is not Phase.READY:
             return False
         if received.started_us not in (None, known.started_us):
             return False
-        # A drain that another watch has reported to be over is none. Over the same watch it counts, whatever
-        # its revision: a watch that was behind otherwise drained for good a replica that had come back.
+        # Ignore a drain that another watch has already reported as over: otherwise a watch that is behind
+        # would drain for ever a replica that has come back. A drain from the watch that last updated the
+        # replica is applied whatever its revision.
         last = self._last_updates.get(received.replica, _NEVER_UPDATED)
         return revision >= last.revision or last.watch_id == watch_id
 
@@ -146,8 +149,8 @@
                 self.endpoints[endpoint.replica] = endpoint
 
 
-def _complete(received: DiscoveredEndpoint, known: ListedEndpoint | None) -> ListedEndpoint | None:
-    """Fills malformed fields with what was known; None for an endpoint whose zone is not known at all."""
+def _fill_missing_fields(received: DiscoveredEndpoint, known: ListedEndpoint | None) -> ListedEndpoint | None:
+    """Replaces malformed fields by their last known values; returns None if no zone is known."""
     zone = received.zone
     if zone is None and known is not None:
         zone = known.zone
@@ -169,7 +172,7 @@
         zone=zone,
         kind=received.kind or base.kind,
         cell=base.cell if received.cell is None else received.cell,
-        # An unknown phase is taken as draining: nothing new goes there, and what is in flight may complete.
+        # An unknown phase counts as draining: no new requests go there, and those in flight may complete.
         phase=received.phase or Phase.DRAINING,
         size=base.size if received.size is None else received.size,
         started_us=base.started_us if received.started_us is None else received.started_us,
