--- a/gradehoist/node/health_checker.py
+++ b/gradehoist/node/health_checker.py
@@ -1,4 +1,4 @@
-"""Checks the health of replicas over HTTP when the policy orders it."""
+"""Runs the health checks of replicas that the policy orders, over HTTP."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class HealthChecker:
-    """Runs health checks, each as a task, and reports their results to the core."""
+    """Runs each health check in its own task and reports the result to the core."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         tasks: BackgroundTasks,
         log: NodeLog,
     ) -> None:
-        """Allows MAX_CONCURRENT_CHECKS at once."""
+        """Creates a checker that runs at most MAX_CONCURRENT_CHECKS checks at once."""
         self._runner = runner
         self._core = runner.core
         self._clock = runner.clock
@@ -39,14 +39,15 @@
         self._slots = asyncio.Semaphore(MAX_CONCURRENT_CHECKS)
 
     def start(self, replica: int) -> asyncio.Task[None]:
-        """Begins a check."""
+        """Starts a check of a replica and returns its task."""
         return self._tasks.start(self._check(replica))
 
     async def _check(self, replica: int) -> None:
-        """Checks until the result belongs to the endpoint as it is then listed.
+        """Repeats the check until the endpoint did not change while the check ran.
 
-        Otherwise it is of an earlier incarnation, or of who had the address. The policy waits for a result:
-        without one, a replica that left and came back meanwhile would stay ejected.
+        If it changed, the result may belong to an earlier incarnation or to the previous user of the address.
+        The policy has to get a result in the end: without one, a replica that left and came back during its
+        check would stay ejected.
         """
         name = self._core.identifiers.replicas.names[replica]
         while True:
@@ -71,7 +72,7 @@
                 )
             if response is not None and response.body:
                 return outcome, _parse_load(response.body)
-        except ValueError as error:  # no address, or a body that is no load report
+        except ValueError as error:  # the address is missing, or the body is not a load report
             self._log.write(f"health check of {name}: {error}")
         return outcome, None
 
@@ -83,7 +84,7 @@
 
 
 def _parse_load(body: bytes) -> LoadReport | None:
-    """Raises ValueError for a body that is no load report."""
+    """Parses the load report in a response body; raises ValueError if it is malformed."""
     report = orca.parse_report(body.decode("latin-1"), platform.FIELD_BY_METRIC)
     if report is None:
         return None
