--- a/gradehoist/node/policy_runner.py
+++ b/gradehoist/node/policy_runner.py
@@ -1,4 +1,4 @@
-"""Runs the core: at most so often, as its timers fall due and as events come in."""
+"""Runs the steps of the core when timers are due and events are pending, in batches to limit their rate."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 from gradehoist.node.clock import SteadyUnixClock
 from gradehoist.node.core import NodeCore
 
-GATHER_S = 0.004  # what comes in within this time is gathered for one step of the policy
+BATCH_DELAY_S = 0.004  # events that arrive within this time are processed in one step of the policy
 MAX_STEP_INTERVAL_S = 0.25
-MIN_TIMER_GAIN_S = 1e-4  # a timer is not set anew to run earlier by less than this
+MIN_TIMER_GAIN_S = 1e-4  # a scheduled step is not brought forward by less than this
 MICROSECONDS_PER_SECOND = 1e6
 
 
 class PolicyRunner:
-    """Owns the timer of the next step. A failure of the policy is reported to the owner and not raised."""
+    """Schedules and runs the steps of the core.
+
+    An exception from the policy is passed to `on_failure` and not raised.
+    """
 
     def __init__(
         self,
@@ -26,18 +29,18 @@
         deliver: Callable[[], None],
         on_failure: Callable[[BaseException], None],
     ) -> None:
-        """`deliver` takes the core's output after each step; nothing is scheduled once `stopping` is set."""
+        """Calls `deliver` after each step, and schedules no step once `stopping` is set."""
         self.core = core
         self.clock = clock
         self._stopping = stopping
         self._deliver = deliver
         self._on_failure = on_failure
-        self._next_step_s: float | None = None  # in the loop's time
+        self._next_step_s: float | None = None  # event loop time
         self._timer: asyncio.TimerHandle | None = None
         self._longest_step_s = 0.0
 
-    def schedule(self, delay_s: float = GATHER_S) -> None:
-        """Has a step run after `delay_s` at the latest."""
+    def schedule(self, delay_s: float = BATCH_DELAY_S) -> None:
+        """Schedules a step to run within `delay_s`."""
         if self._stopping.is_set():
             return
         loop = asyncio.get_running_loop()
@@ -56,7 +59,7 @@
         self._timer = None
         try:
             self.core.advance(self.clock.now_us())
-        except Exception as error:  # noqa: BLE001 - process boundary: the node ends, and logs the traceback
+        except Exception as error:  # noqa: BLE001 - process boundary: the node ends and prints the traceback
             self._on_failure(error)
             return
         self._deliver()
@@ -76,6 +79,6 @@
             self._timer.cancel()
 
     def take_longest_step_s(self) -> float:
-        """The duration of the longest step since the last call."""
+        """Returns the duration of the longest step since the last call."""
         longest_s, self._longest_step_s = self._longest_step_s, 0.0
         return longest_s
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -164,7 +164,7 @@
         wire.say("agent site=a", f"{SUM} over=1000", "GET / HTTP/1.1")
         await until(lambda: due)
         assert due[0] is not None
-        assert due[0] <= policy_runner.GATHER_S
+        assert due[0] <= policy_runner.BATCH_DELAY_S
 
     play(tmp_path, work)
 
