--- a/gradehoist/node/push_batch.py
+++ b/gradehoist/node/push_batch.py
@@ -1,4 +1,4 @@
-"""Turns one batch of the policy's orders into messages, one for each proxy concerned."""
+"""Converts a batch of the policy's orders into one message for each affected proxy."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OutboundMessage(NamedTuple):
-    """Bytes for one stream; they are dropped where it is no longer the current one of its proxy."""
+    """Bytes for one stream; dropped if it is no longer the current stream of its proxy."""
 
     proxy: int
     stream_id: int
@@ -31,10 +31,10 @@
 
 
 class PushBatch:
-    """The messages of one batch. Proxies whose messages are the same share the bytes."""
+    """The messages of one batch. Proxies with equal messages share the encoded bytes."""
 
     def __init__(self, tables: PublishedTables, streams: Mapping[int, ProxyStream]) -> None:
-        """Begins a batch; `streams` are the current ones by proxy."""
+        """Creates an empty batch; `streams` maps each proxy to its current stream."""
         self._tables = tables
         self._replicas = tables.identifiers.replicas
         self._streams = streams
@@ -43,14 +43,14 @@
         self._encoded: dict[object, bytes] = {}
 
     def request_acknowledgement(self, order: RequestAcknowledgement) -> None:
-        """Asks for an acknowledgement of this batch; the last such order of a batch holds."""
+        """Requests an acknowledgement of this batch; the last request in a batch takes effect."""
         self._acknowledgement = order
 
     def bind(self, order: BindProxy) -> None:
-        """Sends a proxy the full table, without the replicas that are withdrawn.
+        """Sends a proxy the full table without withdrawn replicas.
 
-        It then needs no withdrawals: with all of them a bind of a large fleet cost twice as much, and its
-        proxies waited as long for it.
+        The proxy then needs no withdrawals. Sending all of them doubled the cost of a bind in a large fleet,
+        and the time that proxies waited for it.
         """
         if order.proxy not in self._streams:
             return
@@ -67,7 +67,7 @@
                 deltas.append(delta)
 
     def publish(self, order: TableOrder) -> None:
-        """Applies an order to the tables and sends its delta to the proxies concerned."""
+        """Applies an order to the tables and sends its delta to the affected proxies."""
         update = self._tables.apply(order)
         proxies = update.proxies
         if isinstance(order, WithdrawReplica):
@@ -76,10 +76,10 @@
             self._deltas.setdefault(proxy, []).append(update.delta)
 
     def _proxies_to_notify(self, order: WithdrawReplica) -> list[int]:
-        """The proxies that a withdrawal or its end concerns.
+        """Returns the proxies that a withdrawal or its end affects.
 
-        A withdrawal goes to those whose tables on this stream name the replica; others get it if their tables
-        ever come to name it. Its end goes to those that were sent the withdrawal.
+        A withdrawal is sent to the proxies whose tables contain the replica; other proxies get it once their
+        tables contain the replica. The end is sent to the proxies that were sent the withdrawal.
         """
         replica = order.replica
         if not order.withdrawn:
@@ -87,18 +87,18 @@
             for stream in streams:
                 stream.withdrawn_replicas.discard(replica)
             return [stream.proxy for stream in streams]
-        naming = {table for table, weights in self._tables.weights.items() if replica in weights}
+        tables_with_replica = {table for table, weights in self._tables.weights.items() if replica in weights}
         streams = [
             stream
             for stream in self._streams.values()
-            if not naming.isdisjoint(self._tables.bindings[stream.proxy].values())
+            if not tables_with_replica.isdisjoint(self._tables.bindings[stream.proxy].values())
         ]
         for stream in streams:
             stream.withdrawn_replicas.add(replica)
         return [stream.proxy for stream in streams]
 
     def messages(self, now_us: int) -> list[OutboundMessage]:
-        """Encodes the batch, and records on the streams what is to be acknowledged."""
+        """Encodes the batch and records the messages to be acknowledged on their streams."""
         if self._acknowledgement is not None and self._acknowledgement.to_all:
             for proxy in self._streams:
                 self._deltas.setdefault(proxy, [])
@@ -114,7 +114,7 @@
     def _encode(self, stream: ProxyStream, deltas: list[Delta]) -> bytes:
         bindings = self._tables.bindings[stream.proxy]
         restored = () if stream.is_new else self._restorations(stream, deltas)
-        key = (_identity(deltas), _bindings_that_matter(deltas, bindings), restored)
+        key = (_deltas_key(deltas), _relevant_bindings(deltas, bindings), restored)
         data = self._encoded.get(key)
         if data is None:
             contents = PushContents(self._tables, bindings, restored)
@@ -126,15 +126,16 @@
         return data
 
     def _restorations(self, stream: ProxyStream, deltas: list[Delta]) -> tuple[str, ...]:
-        """Replicas new to the stream's tables that another node may have withdrawn from this proxy.
+        """Returns replicas new to the stream's tables that another node may have withdrawn from this proxy.
 
-        A proxy keeps withdrawals over a change of streams, and would avoid those replicas for good.
+        A proxy keeps withdrawals when it changes streams. Unless they are ended explicitly, it would avoid
+        those replicas for ever.
         """
         for delta in deltas:
             if isinstance(delta, WithdrawalDelta | RestorationDelta):
                 stream.notified_replicas.add(self._replicas[delta.replica])
         restored = []
-        for name in _replicas_named(deltas):
+        for name in _added_replicas(deltas):
             replica = self._replicas[name]
             if replica not in stream.notified_replicas and replica not in self._tables.withdrawn:
                 restored.append(name)
@@ -142,30 +143,30 @@
         return tuple(restored)
 
 
-def _identity(deltas: list[Delta]) -> object:
-    """A key for deltas within a batch: shared deltas are one object.
+def _deltas_key(deltas: list[Delta]) -> object:
+    """Returns a key that identifies deltas within a batch.
 
-    Those of a bind are made for each proxy, yet are equal for all on the same tables, so their number is
-    enough beside the bindings.
+    Shared deltas are the same object. Bind deltas are created for each proxy but are equal for all proxies
+    with the same bindings, so their number is a sufficient key in combination with the bindings.
     """
     if any(isinstance(delta, BindDelta) for delta in deltas):
         return len(deltas)
     return tuple(map(id, deltas))
 
 
-def _bindings_that_matter(deltas: list[Delta], bindings: Mapping[int, int]) -> tuple[tuple[int, int], ...]:
-    """The bindings, or nothing where no delta concerns a table: those say the same to all proxies."""
+def _relevant_bindings(deltas: list[Delta], bindings: Mapping[int, int]) -> tuple[tuple[int, int], ...]:
+    """Returns the bindings, or none if no delta concerns a table and the message is equal for all proxies."""
     if any(getattr(delta, "table", None) is not None for delta in deltas):
         return tuple(bindings.items())
     return ()
 
 
-def _replicas_named(deltas: Iterable[Delta]) -> dict[str, None]:
-    """The replicas that come into tables by these deltas, each once, in order."""
-    named: dict[str, None] = {}
+def _added_replicas(deltas: Iterable[Delta]) -> dict[str, None]:
+    """Returns the replicas that these deltas add to tables, each once, in order."""
+    added: dict[str, None] = {}
     for delta in deltas:
         if isinstance(delta, BindDelta):
-            named |= dict.fromkeys(delta.weights)
+            added |= dict.fromkeys(delta.weights)
         elif isinstance(delta, WeightDelta) and delta.weight > 0:
-            named[delta.replica] = None
-    return named
+            added[delta.replica] = None
+    return added
