--- a/gradehoist/node/push_contents.py
+++ b/gradehoist/node/push_contents.py
@@ -1,4 +1,4 @@
-"""What one message to a proxy says, composed from the deltas that concern it."""
+"""Composes the contents of one message to a proxy from the deltas that concern it."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class PushContents:
-    """The contents of one message: of several deltas on one line, replica or class the last one holds."""
+    """The contents of one message; the last of several deltas for a line, replica or class applies."""
 
     def __init__(self, tables: PublishedTables, bindings: Mapping[int, int], restored: Iterable[str]) -> None:
-        """Begins a message to a proxy with these bindings, class to table, that restores these replicas."""
+        """Starts a message that restores `restored`; `bindings` maps the proxy's classes to tables."""
         self._tables = tables
         self._bindings = bindings
         self._classes_by_table: dict[int, list[int]] = {}
@@ -29,11 +29,11 @@
             self._classes_by_table.setdefault(table, []).append(request_class)
         self._withdrawn: dict[str, bool] = dict.fromkeys(restored, False)
         self._weights: dict[int, dict[str, float]] = {}
-        self._snapshots: set[int] = set()  # tables that are sent in full
-        self._admission_classes: dict[int, None] = {}  # in the order in which they are sent
+        self._snapshots: set[int] = set()  # tables to be sent in full
+        self._admission_classes: dict[int, None] = {}  # an ordered set, in sending order
 
     def apply(self, delta: Delta) -> None:
-        """Adds one delta; those that have no place on the platform's streams are ignored."""
+        """Adds one delta; deltas that the platform's line protocol cannot express are ignored."""
         match delta:
             case BindDelta(table=table, weights=weights):
                 self._start_snapshot(table, dict(weights))
@@ -59,7 +59,7 @@
         )
 
     def parts(self, revision: int | None) -> list[PushPart]:
-        """The parts of the message, withdrawals first. `revision` asks for an acknowledgement."""
+        """Returns the parts of the message, withdrawals first; a `revision` requests an acknowledgement."""
         self._finish_snapshots()
         parts = [*self._table_parts(), *self._admission_parts()]
         withdrawn = tuple(replica for replica, is_out in self._withdrawn.items() if is_out)
@@ -72,7 +72,7 @@
         for table in self._snapshots:
             weights = self._weights[table]
             self._weights[table] = {replica: weight for replica, weight in weights.items() if weight > 0}
-            # A table sent in full makes the proxy forget the admission limits of its classes.
+            # A proxy that receives a full table discards the admission limits of the table's classes.
             self._admission_classes |= dict.fromkeys(self._classes_by_table.get(table, []))
 
     def _table_parts(self) -> list[PushPart]:
@@ -100,14 +100,14 @@
         ]
 
     def _class_names(self, classes: list[int]) -> tuple[str, ...]:
-        """Empty where all classes are meant, which is how a push names them."""
+        """Returns the names of classes, or an empty tuple for all classes, as push messages encode them."""
         names = self._tables.identifiers.classes.names
         if len(classes) == len(names):
             return ()
         return tuple(names[number] for number in sorted(classes))
 
     def _admission_limit(self, request_class: int, table: int | None) -> Admission | None:
-        """The lower of the table's share and the common one, with the table's own retry policy."""
+        """Returns the lower of the table's and the common admitted share, with the table's retry policy."""
         common = self._tables.admission.get((None, request_class))
         own = self._tables.admission.get((table, request_class)) if table is not None else None
         if own is None:
