--- a/gradehoist/node/service.py
+++ b/gradehoist/node/service.py
@@ -1,4 +1,4 @@
-"""The node's process: its parts, signals, start and end."""
+"""The node process: wires its components together and handles signals, startup and shutdown."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 from gradehoist.node.policy_runner import PolicyRunner
 
 TRACE_VARIABLE = "GRADEHOIST_TRACE"
-TRACE_LINES_PER_S = 1_000.0  # each replica has a line a second
+TRACE_LINES_PER_S = 1_000.0  # one line a second for each replica
 RESERVED_DESCRIPTORS = 24  # for the loop, the log, the listener, watches and health checks
-READY_TIMEOUT_S = 0.7  # that the first health check of this node waits for discovery's first response
+READY_TIMEOUT_S = 0.7  # how long health checks of this node wait for the first response of discovery
 MAINTENANCE_PERIOD_S = 0.1
 TRACE_PERIOD_S = 1.0
 REPORT_PERIOD_S = 5.0
-LISTEN_TIMEOUT_S = 5.0  # in which an address that another process still holds is tried
+LISTEN_TIMEOUT_S = 5.0  # how long to retry an address that another process still uses
 LISTEN_RETRY_DELAY_S = 0.05
-RELOAD_ATTEMPTS = 10  # of an invalid file after SIGHUP, beside the first: it may be half written
+RELOAD_ATTEMPTS = 10  # retries after SIGHUP if the file is invalid: it may be half written
 RELOAD_RETRY_DELAY_S = 0.2
 EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_INVALID_CONFIG = 2
 KIBIBYTES_PER_MEBIBYTE = 1_024
 MILLISECONDS_PER_SECOND = 1e3
-FIXED_SETTINGS = ("listen", "socket_limit", "settings")  # of NodeConfig: they need a restart
+FIXED_SETTINGS = ("listen", "socket_limit", "settings")  # fields of NodeConfig that need a restart to change
 
 
 class NodeService:
-    """One node on its sockets. `run` serves until a signal or a failure ends it."""
+    """One node with its sockets. `run` serves until a signal or a failure stops it."""
 
     def __init__(self, config: NodeConfig, path: Path, log: NodeLog | None = None) -> None:
-        """Prepares a node; `path` is where SIGHUP reads the configuration again."""
+        """Creates a node; SIGHUP reloads the configuration from `path`."""
         self.config = config
         is_traced = bool(os.environ.get(TRACE_VARIABLE))
         self.log = log or NodeLog(sys.stderr.fileno(), TRACE_LINES_PER_S if is_traced else LINES_PER_S)
@@ -82,9 +82,9 @@
         self._failure: BaseException | None = None
 
     async def run(self, reload_requested: Callable[[], bool] = lambda: False) -> int:
-        """Serves, and returns the exit code.
+        """Serves until stopped and returns the exit code.
 
-        `reload_requested` says whether a SIGHUP came before the handlers that are installed here.
+        `reload_requested` tells whether a SIGHUP arrived before the signal handlers installed here.
         """
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -118,12 +118,12 @@
         return EXIT_FAILED
 
     def _fail(self, error: BaseException) -> None:
-        """Ends the node for a bug of ours, the policy's included; the first one's traceback is printed."""
+        """Stops the node after an internal error, the policy's included; the first traceback is printed."""
         self._failure = self._failure or error
         self.stopping.set()
 
     async def _listen(self) -> OSError | None:
-        """Binds the address, and waits for one that the process before still holds: it may be ending."""
+        """Binds the address; retries while it is in use, as the previous process may be shutting down."""
         address = self.config.listen
         deadline_s = time.monotonic() + LISTEN_TIMEOUT_S
         is_logged = False
@@ -148,7 +148,7 @@
         self.connections.set_ready()
 
     def _deliver(self) -> None:
-        """Sends what the core put out in its last step."""
+        """Sends the messages, starts the health checks and writes the log lines of the core's last step."""
         messages, self.core.outbound = self.core.outbound, []
         for message in messages:
             self.connections.send_to_proxy(message)
@@ -196,10 +196,10 @@
     # Reload
 
     def _reload(self, attempts_left: int = RELOAD_ATTEMPTS) -> None:
-        """Reads the file again after SIGHUP: discovery may have moved.
+        """Reloads the configuration after SIGHUP: the discovery address may have changed.
 
-        An invalid file changes nothing. As it may have been caught half written, and nobody need send the
-        signal twice, it is read again for a while.
+        An invalid file changes nothing. It may have been read while half written, and the sender does not
+        repeat the signal, so reading it is retried RELOAD_ATTEMPTS times.
         """
         if self._reload_timer is not None:
             self._reload_timer.cancel()
@@ -222,10 +222,10 @@
         self.config = replace(self.config, discovery=config.discovery)
         self.log.write(f"reload: discovery at {config.discovery}")
         if has_moved:
-            self.discovery.watch(config.discovery)  # the former watch goes on until it ends
+            self.discovery.watch(config.discovery)  # the previous watch stays open until it ends
 
 
 def _max_connections(socket_limit: int) -> int:
-    """How many peers may be connected at once: the limits on descriptors, less what the node itself needs."""
+    """Returns how many peers may be connected: the descriptor limit less what the node itself needs."""
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return min(socket_limit, soft_limit) - RESERVED_DESCRIPTORS
