--- a/gradehoist/node/trace.py
+++ b/gradehoist/node/trace.py
@@ -1,4 +1,4 @@
-"""The trace: what the policy estimates of each replica beside what load reports said, for a look by hand."""
+"""The trace: log lines that show the policy's estimates beside the reported load, for debugging."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What the reports on one replica add up to since the trace was last written."""
+    """The totals of the reports on one replica since the last trace."""
 
     attempts: int = 0
     failures: int = 0
-    elapsed_s: float = 0.0  # of the successful attempts together
-    busy_share: float = NOT_REPORTED  # by the latest load report
-    in_flight: float = NOT_REPORTED
+    elapsed_s: float = 0.0  # total of the successful attempts
+    busy_share: float = NOT_REPORTED  # from the latest load report
+    in_flight: float = NOT_REPORTED  # from the latest load report
 
     @property
     def mean_s(self) -> float:
-        """The mean time of a successful attempt, 0 where there was none."""
+        """The mean duration of a successful attempt, or 0 if there was none."""
         successes = self.attempts - self.failures
         return self.elapsed_s / successes if successes > 0 else 0.0
 
@@ -44,10 +44,10 @@
 
 
 class PolicyTrace:
-    """Gathers traffic between two traces, and writes the lines of a trace."""
+    """Collects reported traffic between traces and formats the lines of a trace."""
 
     def __init__(self, identifiers: Identifiers) -> None:
-        """Starts without traffic."""
+        """Creates a trace without traffic."""
         self._identifiers = identifiers
         self._traffic: dict[int, Traffic] = {}
 
@@ -58,7 +58,7 @@
     def take_lines(
         self, policy: Planner, endpoints: Mapping[str, ListedEndpoint], withdrawn: Container[int]
     ) -> list[str]:
-        """One line for each listed replica and one for all of them; the gathering of traffic starts over."""
+        """Returns a line for each listed replica and one for the fleet, and resets the traffic."""
         traffic, self._traffic = self._traffic, {}
         actors = policy.fleet.replicas.actors
         lines = []
