--- a/gradehoist/protocol/__init__.py
+++ b/gradehoist/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Wire formats as state machines without I/O: bytes or documents in, events out."""
+"""Wire formats without I/O: parsers that turn received bytes into events, and encoders."""
--- a/gradehoist/protocol/feed.py
+++ b/gradehoist/protocol/feed.py
@@ -1,11 +1,13 @@
-"""The documents of the governor's feed, which a proxy reads by long poll.
+"""The JSON documents of the governor's feed, which proxies read by long polling.
 
-A message is a list of changes (deltas) to what the messages before it made. A poll names the epoch, the
-stream and the last message applied, which it acknowledges. A proxy whose messages can no longer be sent gets
-one snapshot, marked as such. `gradehoist.protocol.proxy_state` applies messages.
+A message is a list of changes (deltas) to the state that earlier messages built up. A poll contains the
+epoch, the stream and the last message applied, which it thereby acknowledges. If the messages that a proxy
+lacks are no longer available, it gets a single snapshot, marked as such. `gradehoist.protocol.proxy_state`
+applies messages.
 
-The encoded names of fields and deltas are part of the governor's HTTP API (`docs/feed.md`). The docstrings
-of encoded types use them in backticks, because they are the descriptions in `docs/openapi.json` as well.
+The encoded names of fields and deltas are part of the governor's HTTP API (`docs/feed.md`), and the
+docstrings of encoded types refer to fields by these names. The descriptions in `docs/openapi.json` are
+separate texts in `gradehoist.governor.openapi`.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 Weight = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=10**9)]
 Microseconds = Annotated[int, msgspec.Meta(ge=0, le=10**12)]
-FIRST_GENERATION = 1  # of a tenant that has never migrated
+FIRST_GENERATION = 1  # the generation of a tenant that has never migrated
 
 
 class WeightDelta(msgspec.Struct, frozen=True, tag="line", array_like=True):
@@ -36,10 +38,10 @@
 
 
 class BindDelta(msgspec.Struct, frozen=True, tag="bind", array_like=True):
-    """Binds classes to a table, whose weights are exactly these.
+    """Binds classes to a table and replaces the weights of the table.
 
-    Admission shares of the table that the proxy has end; those that still hold follow. The first bind of a
-    stream ends all earlier withdrawals.
+    The proxy discards its admission shares for the table; those still in force follow as separate deltas. The
+    first bind of a stream ends all earlier withdrawals.
     """
 
     table: int
@@ -48,7 +50,7 @@
 
 
 class WithdrawalDelta(msgspec.Struct, frozen=True, tag="out", array_like=True):
-    """No more requests go to this replica, whatever any table says."""
+    """Withdraws a replica: it gets no more requests, whatever its weights are."""
 
     replica: str
 
@@ -60,7 +62,7 @@
 
 
 class AdmissionDelta(msgspec.Struct, frozen=True, tag="level", array_like=True):
-    """Sets the admitted share of classes and their retry policy, 0 to 3; without a table, for all tables."""
+    """Sets the admitted share and the retry policy (0 to 3) of classes, in one table or, if null, in all."""
 
     table: int | None
     classes: tuple[str, ...]
@@ -69,10 +71,11 @@
 
 
 class TenantRoutes(msgspec.Struct, frozen=True, tag="route", array_like=True):
-    """Says where tenants live: in the cell that `cell_by_tenant` gives, else in that of their hash.
+    """Assigns tenants to cells: by `cell_by_tenant` or, for tenants not named there, by hash.
 
-    The number of the cell is then the CRC-32 of the name in UTF-8, times the number of cells, over 2**32.
-    Classes are called CELL/CLASS. A tenant without a generation has the first one.
+    The index of the cell is then the CRC-32 of the tenant's name in UTF-8, multiplied by the number of cells
+    and divided by 2**32, rounded down. Class names have the form CELL/CLASS. A tenant without an entry in
+    `generations` has the first generation.
     """
 
     cells: tuple[str, ...]
@@ -81,9 +84,9 @@
 
 
 class TenantMigrated(msgspec.Struct, frozen=True, tag="moved", array_like=True):
-    """Says where a tenant lives from this generation on.
+    """Assigns a tenant to a cell from this generation on.
 
-    Without a cell the tenant is between two cells, and its requests are rejected.
+    If the cell is empty, the tenant is between two cells, and its requests are rejected.
     """
 
     tenant: str
@@ -92,10 +95,10 @@
 
 
 class RateLimitsDelta(msgspec.Struct, frozen=True, tag="limits", array_like=True):
-    """Sets what one proxy admits: requests a second of a cell and of a tenant, with bursts of `burst_s`.
+    """Limits the requests that one proxy admits, as rates per second of a cell and of a tenant.
 
-    At most `tenant_in_flight` requests of a tenant and `cell_in_flight` of a cell are in flight at once; 0 is
-    no limit.
+    Bursts may have the size of `burst_s` seconds of the rate. At most `tenant_in_flight` requests of a tenant
+    and `cell_in_flight` of a cell are in flight at once; 0 means no limit.
     """
 
     cell_rate: Weight
@@ -119,10 +122,11 @@
 
 
 class Message(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A message of a stream, to be applied as a whole.
+    """A message of a stream, to be applied as a unit.
 
-    `reply` numbers the decisions that the governor made at one time, `at` is that time (µs of the governor's
-    monotonic clock), `cost` the message's cost in lines. With `whole` the deltas are the full state.
+    `reply` is the number of the round of decisions that the message belongs to, `at` the time of that round
+    (µs of the governor's monotonic clock) and `cost` the message's cost in lines. If `whole` is set, the
+    deltas are the full state.
     """
 
     seq: int
@@ -135,7 +139,7 @@
 
 
 class PollResponse(msgspec.Struct, frozen=True):
-    """The answer to a poll. If `joined`, the stream is new, and the proxy's state holds until it is bound."""
+    """The response to a poll. If `joined`, the stream is new and the proxy keeps its state until a bind."""
 
     epoch: str
     stream: int
@@ -144,7 +148,7 @@
 
 
 class ReplicaAttempts(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One proxy's attempts at a replica; `elapsed` is the mean time of the successful ones (µs)."""
+    """One proxy's attempts at a replica; `elapsed` is the mean duration of the successful ones (µs)."""
 
     replica: Name
     attempts: Count = msgspec.field(name="tries")
@@ -156,7 +160,7 @@
 
 
 class ClassRequests(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Requests of a class that reached one proxy, and those of them that had no answer."""
+    """Requests of a class that one proxy received, and how many of them got no response."""
 
     request_class: Name = msgspec.field(name="cls")
     requests: Count = msgspec.field(name="number")
@@ -164,7 +168,7 @@
 
 
 class ProxyLoadReport(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one proxy measured over `window` (µs)."""
+    """The measurements of one proxy over `window` (µs)."""
 
     proxy: Name = msgspec.field(name="relay")
     epoch: str
@@ -176,8 +180,8 @@
 class EndpointRecord(msgspec.Struct, frozen=True):
     """A replica in the endpoint list.
 
-    `boot` changes with each start of the replica, `age` is the time since then (µs, when the list was
-    written). `address` is where the reader reaches the replica, if that is not its name.
+    `boot` changes with each start of the replica; `age` is the time from that start to the writing of the
+    list (µs). `address` is the replica's address if it differs from its name.
     """
 
     replica: Name
@@ -192,9 +196,9 @@
 
 
 class EndpointListUpdate(msgspec.Struct, frozen=True):
-    """The complete endpoint list (`whole`), or its changes since version `after`.
+    """The complete endpoint list (if `whole` is set), or its changes since version `after`.
 
-    `life` changes when the versions begin again.
+    `life` changes when the version numbers restart.
     """
 
     incarnation: str = msgspec.field(name="life")
@@ -205,9 +209,9 @@
 
 
 def apply_migration(routes: TenantRoutes, migration: TenantMigrated) -> TenantRoutes:
-    """Returns the routes after a migration; one of an older generation changes nothing.
+    """Returns the routes after a migration; a migration of an older generation is ignored.
 
-    Of the generation that is known already, only a message with a cell counts: it names the cell in which the
+    A message of the known generation is applied only if it names a cell, which is the one in which the
     migration ended.
     """
     tenant = migration.tenant
