--- a/gradehoist/protocol/http.py
+++ b/gradehoist/protocol/http.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 messages (RFC 9110, RFC 9112): their types, limits and errors, and how they are written.
+"""HTTP/1.1 messages (RFC 9110, RFC 9112): types, limits, errors and encoding.
 
-`gradehoist.protocol.http_parser` reads them; the connections are in `gradehoist.net`.
+`gradehoist.protocol.http_parser` parses them; `gradehoist.net` has the connections.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 Headers = tuple[tuple[str, str], ...]
 
-FIRST_FINAL_STATUS = 200  # lower ones announce a response that is still to come
+FIRST_FINAL_STATUS = 200  # lower statuses are those of interim responses
 NO_CONTENT = 204
 _FIELD_VALUE = re.compile(r"[\t\x20-\x7e\x80-\xff]*")
 _METHODS_WITH_BODY = ("POST", "PUT")
@@ -27,10 +27,10 @@
 
 
 class ProtocolError(Exception):
-    """The peer broke the protocol; `status` is what a server answers before it closes the connection."""
+    """The peer violated the protocol; a server responds with `status` before it closes the connection."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Takes the status to answer and the reason to state."""
+        """Takes the status and the reason for the response."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """The largest message that is accepted; a larger one is rejected with 414, 431 or 413."""
+    """Size limits of accepted messages; larger ones are rejected with status 414, 431 or 413."""
 
     max_line_bytes: int = 8_192
     max_head_bytes: int = 16_384
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A complete request; names of header fields are in lower case."""
+    """A complete request; header field names are in lower case."""
 
     method: str
     target: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A complete response; names of header fields are in lower case."""
+    """A complete response; header field names are in lower case."""
 
     status: int
     reason: str
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The head of a response whose body follows in chunks."""
+    """The head of a response with a chunked body that is delivered as `BodyChunk` events."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class BodyChunk:
-    """One chunk of such a body."""
+    """One chunk of a streamed response body."""
 
     data: bytes
 
@@ -91,23 +91,26 @@
 
 
 class Role(Enum):
-    """The end of the connection that reads: a server reads requests, a client responses."""
+    """The side of the connection that parses: a server parses requests, a client responses."""
 
     SERVER = "server"
     CLIENT = "client"
 
 
 def get_header(headers: Headers, name: str) -> str | None:
-    """Returns the value of a field, its lines joined by commas (RFC 9110, 5.3); `name` is in lower case."""
-    found = [value for key, value in headers if key == name]
-    return ", ".join(found) if found else None
+    """Returns a field's value, or None; repeated fields are joined by commas (RFC 9110, 5.3).
+
+    `name` is in lower case.
+    """
+    values = [value for key, value in headers if key == name]
+    return ", ".join(values) if values else None
 
 
 def format_response(status: int, body: bytes = b"", headers: Headers = (), keep_alive: bool = True) -> bytes:
-    """Returns a complete response with its length.
+    """Encodes a complete response with its content length.
 
     Raises:
-        ValueError: A header field would not stay on its line.
+        ValueError: A header field has an empty name or an invalid value, such as one with a line break.
     """
     has_length = status >= FIRST_FINAL_STATUS and status != NO_CONTENT
     length = f"content-length: {len(body)}\r\n" if has_length else ""
@@ -118,10 +121,10 @@
 
 
 def format_request(method: str, target: str, host: str, body: bytes = b"", headers: Headers = ()) -> bytes:
-    """Returns a complete request, with its length where it has a body.
+    """Encodes a complete request, with a content length if it has a body.
 
     Raises:
-        ValueError: A header field would not stay on its line.
+        ValueError: A header field has an empty name or an invalid value, such as one with a line break.
     """
     has_length = bool(body) or method in _METHODS_WITH_BODY
     length = f"content-length: {len(body)}\r\n" if has_length else ""
@@ -132,5 +135,5 @@
 def _format_fields(headers: Headers) -> str:
     for name, value in headers:
         if not name or not _FIELD_VALUE.fullmatch(value):
-            raise ValueError(f"a header field {name!r} that would not stay on its line")
+            raise ValueError(f"header field {name!r} has an empty name or an invalid value")
     return "".join([f"{name}: {value}\r\n" for name, value in headers])
