--- a/gradehoist/protocol/line_parser.py
+++ b/gradehoist/protocol/line_parser.py
@@ -1,7 +1,7 @@
-"""Reading the platform's line protocol as a state machine without I/O.
+"""A parser of the platform's line protocol as a state machine without I/O.
 
-Three things are distinguished: a valid message; a malformed line, which costs only itself; and bytes that are
-no messages of the protocol, which end the connection.
+Three cases are distinguished: a valid message; a malformed line, after which parsing continues; and bytes
+that are not messages of the protocol, after which the connection is closed.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
     Demand,
     HealthCheck,
     LineProtocolError,
-    LoadFigures,
+    LoadMetrics,
     MalformedLine,
     Message,
     ProxyHello,
 )
 
 MAX_MESSAGE_BYTES = 1 << 20
-MAX_UNIDENTIFIED_BYTES = 4_096  # of a message before the peer has said who it is: a hello is far shorter
+MAX_UNIDENTIFIED_BYTES = 4_096  # message size before the peer has joined; a hello is far shorter
 _MAX_TEXT_CHARACTERS = 128
-_MAX_NUMBER = 1e9  # days in milliseconds, and far beyond any count of one period
+_MAX_NUMBER = 1e9  # as milliseconds several days, and far more than any count of one period
 _MAX_REVISION = 65_535
 _MAX_PROXY_ID = 65_535
-_MAX_UTILIZATION = 10.0  # share of the cores: about 1 at most, and measured with noise
-_MAX_QUOTED_CHARACTERS = 40  # of the peer's text in an error
+_MAX_UTILIZATION = 10.0  # a share of the cores; at most about 1, but measured with noise
+_MAX_QUOTED_CHARACTERS = 40  # length of input quoted in an error
 _NUMBER = re.compile(r"[0-9]{1,10}")
 _CARRIAGE_RETURN = 13
 _US_PER_MS = 1_000
 
 
-class _Words:
-    """The words `name=value` of a line; each method raises ValueError for a missing or invalid value."""
+class _Fields:
+    """The fields `name=value` of a line; each getter raises ValueError for a missing or invalid value."""
 
     def __init__(self, words: Iterable[str]) -> None:
         self._values: dict[str, str] = {}
         for word in words:
             name, equals, value = word.partition("=")
             if not equals or name in self._values:
-                raise ValueError(f"the word {word[:_MAX_QUOTED_CHARACTERS]!r}")
+                raise ValueError(f"malformed or repeated field {word[:_MAX_QUOTED_CHARACTERS]!r}")
             self._values[name] = value
 
     def get_text(self, name: str) -> str:
@@ -71,7 +71,7 @@
             raise ValueError(f"{name}=0")
         return window_us
 
-    def get_load(self, name: str) -> LoadFigures | None:
+    def get_load(self, name: str) -> LoadMetrics | None:
         if name not in self._values:
             return None
         pairs = [pair.partition(":") for pair in self._values[name].split(",")]
@@ -93,133 +93,134 @@
     return value
 
 
-def _read_health_check(_: _Words) -> Message:
+def _parse_health_check(_: _Fields) -> Message:
     return HealthCheck()
 
 
-def _read_collector_hello(words: _Words) -> Message:
-    return CollectorHello(zone=words.get_text("site"))
+def _parse_collector_hello(fields: _Fields) -> Message:
+    return CollectorHello(zone=fields.get_text("site"))
 
 
-def _read_outcomes(words: _Words) -> Message:
-    attempts = words.get_integer("count")
-    failures = words.get_integer("fail")
+def _parse_outcomes(fields: _Fields) -> Message:
+    attempts = fields.get_integer("count")
+    failures = fields.get_integer("fail")
     if failures > attempts:
         raise ValueError(f"fail={failures} of count={attempts}")
-    window_us = words.get_window_us("over")
+    window_us = fields.get_window_us("over")
     return AttemptOutcomes(
-        zone=words.get_text("site"),
-        replica=words.get_text("target"),
+        zone=fields.get_text("site"),
+        replica=fields.get_text("target"),
         attempts=attempts,
         failures=failures,
-        elapsed_us=words.get_duration_us("mean"),
+        elapsed_us=fields.get_duration_us("mean"),
         window_us=window_us,
-        load=words.get_load("util"),
+        load=fields.get_load("util"),
     )
 
 
-def _read_proxy_hello(words: _Words) -> Message:
+def _parse_proxy_hello(fields: _Fields) -> Message:
     return ProxyHello(
-        proxy=words.get_integer("id", _MAX_PROXY_ID),
-        zone=words.get_text("site"),
-        request_rate=words.get_number("rps"),
-        is_new=words.get_integer("new", 1) == 1,
+        proxy=fields.get_integer("id", _MAX_PROXY_ID),
+        zone=fields.get_text("site"),
+        request_rate=fields.get_number("rps"),
+        is_new=fields.get_integer("new", 1) == 1,
     )
 
 
-def _read_acknowledgement(words: _Words) -> Message:
+def _parse_acknowledgement(fields: _Fields) -> Message:
     return Acknowledgement(
-        proxy=words.get_integer("id", _MAX_PROXY_ID),
-        revision=words.get_integer("seq", _MAX_REVISION),
-        elapsed_us=words.get_duration_us("ms"),
+        proxy=fields.get_integer("id", _MAX_PROXY_ID),
+        revision=fields.get_integer("seq", _MAX_REVISION),
+        elapsed_us=fields.get_duration_us("ms"),
     )
 
 
-def _read_demand(words: _Words) -> Message:
-    window_us = words.get_window_us("over")
+def _parse_demand(fields: _Fields) -> Message:
+    window_us = fields.get_window_us("over")
     return Demand(
-        proxy=words.get_integer("id", _MAX_PROXY_ID),
-        request_class=words.get_text("lane"),
-        requests=words.get_integer("count"),
-        incomplete=words.get_integer("fail"),
+        proxy=fields.get_integer("id", _MAX_PROXY_ID),
+        request_class=fields.get_text("lane"),
+        requests=fields.get_integer("count"),
+        incomplete=fields.get_integer("fail"),
         window_us=window_us,
     )
 
 
-_READERS: dict[str, Callable[[_Words], Message]] = {
-    "probe": _read_health_check,
-    "agent": _read_collector_hello,
-    "outcomes": _read_outcomes,
-    "hello": _read_proxy_hello,
-    "ack": _read_acknowledgement,
-    "demand": _read_demand,
+_PARSERS: dict[str, Callable[[_Fields], Message]] = {
+    "probe": _parse_health_check,
+    "agent": _parse_collector_hello,
+    "outcomes": _parse_outcomes,
+    "hello": _parse_proxy_hello,
+    "ack": _parse_acknowledgement,
+    "demand": _parse_demand,
 }
-_KINDS = tuple(kind.encode() for kind in _READERS)
+_KINDS = tuple(kind.encode() for kind in _PARSERS)
 _LONGEST_KIND = max(len(kind) for kind in _KINDS)
 
 
 def parse_line(line: bytes) -> Message:
-    """Returns the message of a line without its end.
+    """Parses a line without its line break.
 
     Raises:
-        LineProtocolError: The line is no text or of no known kind.
+        LineProtocolError: The line is not UTF-8 text, or its kind is unknown.
     """
     try:
         kind, *words = line.decode().split(" ")
     except UnicodeDecodeError:
         raise LineProtocolError("bytes that are no text") from None
-    reader = _READERS.get(kind)
-    if reader is None:
+    parse_fields = _PARSERS.get(kind)
+    if parse_fields is None:
         raise LineProtocolError(f"no such message: {kind[:_MAX_QUOTED_CHARACTERS]!r}")
     try:
-        return reader(_Words(filter(None, words)))
+        return parse_fields(_Fields(filter(None, words)))
     except ValueError as error:
         return MalformedLine(kind, str(error))
 
 
 class LineParser:
-    """The reading end of one connection.
+    """Parses the bytes received on one connection.
 
-    The owner sets `is_identified` once it has accepted the peer's hello: longer messages are read from then.
+    The owner sets `is_identified` once it has accepted the peer's hello; longer messages are accepted from
+    then on.
     """
 
     def __init__(self) -> None:
-        """Begins before the first message, of a peer that has not said who it is."""
+        """Creates a parser for a peer that has not joined."""
         self.is_identified = False
         self._buffer = bytearray()
-        self._scanned = 0  # no end of line was found before it
+        self._scanned = 0  # the search for the end of a line resumes here
         self._failure = ""
 
     @property
     def failure(self) -> str:
-        """Why nothing more can be read; empty while the peer keeps to the protocol."""
+        """The protocol error after which nothing more is parsed, or an empty string."""
         return self._failure
 
     def receive(self, data: bytes) -> list[Message]:
-        """Returns the messages that the bytes so far complete; an incomplete rest is kept.
+        """Parses received bytes and returns the messages that they complete; incomplete data is buffered.
 
         Raises:
-            LineProtocolError: The peer broke the protocol. Messages before the error are returned instead,
-                and `failure` is set; the next call raises.
+            LineProtocolError: The peer violated the protocol. If there are messages before the error, they
+                are returned instead and `failure` is set; the next call raises.
         """
         if self._failure:
             raise LineProtocolError(self._failure)
         self._buffer += data
         messages: list[Message] = []
         try:
-            read_bytes = self._read_lines(messages)
+            parsed_bytes = self._parse_lines(messages)
         except LineProtocolError as error:
             self._failure = str(error)
             self._buffer.clear()
             if not messages:
                 raise
             return messages
-        del self._buffer[:read_bytes]
+        del self._buffer[:parsed_bytes]
         self._scanned = len(self._buffer)
         return messages
 
-    def _read_lines(self, messages: list[Message]) -> int:
-        """Appends the message of each complete line; returns how many bytes these lines take."""
+    def _parse_lines(self, messages: list[Message]) -> int:
+        """Appends the message of each complete line and returns the total size of these lines in bytes."""
         buffer = self._buffer
         position = 0
         is_identified = self.is_identified
@@ -227,7 +228,7 @@
             if end == position or buffer[end - 1] != _CARRIAGE_RETURN:
                 raise LineProtocolError("a line that ends without a carriage return")
             if not is_identified and end - position > MAX_UNIDENTIFIED_BYTES:
-                # The same limit as for a line that comes in parts.
+                # Apply the same limit as to a line that arrives in several parts.
                 raise LineProtocolError(f"a message of over {MAX_UNIDENTIFIED_BYTES} bytes")
             message = parse_line(bytes(buffer[position : end - 1]))
             position = end + 1
@@ -237,7 +238,7 @@
         return position
 
     def _check_incomplete_line(self, position: int, is_identified: bool) -> None:
-        """Rejects bytes that no message begins with at once, without waiting for the end of their line."""
+        """Rejects bytes that cannot begin a message at once, without waiting for the end of the line."""
         size = len(self._buffer) - position
         if size > (MAX_MESSAGE_BYTES if is_identified else MAX_UNIDENTIFIED_BYTES):
             raise LineProtocolError(f"a message of over {size} bytes")
--- a/gradehoist/protocol/lines.py
+++ b/gradehoist/protocol/lines.py
@@ -1,7 +1,8 @@
-"""The messages of the platform's line protocol: types of those received, encoding of those sent.
+"""The messages of the platform's line protocol: types of received messages and encoders of sent ones.
 
-A message is a line of a kind and words `name=value`, ended by CRLF. `gradehoist.protocol.line_parser` reads
-them. Times are whole microseconds here, where the wire has milliseconds.
+A message is a line that consists of a kind and fields `name=value` and ends with CRLF.
+`gradehoist.protocol.line_parser` parses received messages. Times are integer microseconds here and
+milliseconds on the wire.
 """
 
 from __future__ import annotations
@@ -9,14 +10,14 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-MAX_PUSH_PARTS = 64  # parts of one push message, by the platform's rules
+MAX_PUSH_PARTS = 64  # the platform's limit on the parts of one push message
 HEALTHY_RESPONSE = b"alive\r\n"
 _MAX_ERROR_CHARACTERS = 80
-_SMALLEST_WEIGHT = 1e-6  # the last digit that is written: a weight above 0 must not become 0
+_SMALLEST_WEIGHT = 1e-6  # the encoding has six decimals, and a positive weight must not become 0
 
 
 class LineProtocolError(Exception):
-    """The peer broke the protocol: nothing after this can be trusted to be its messages."""
+    """The peer violated the protocol; later bytes of the connection cannot be interpreted."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,20 +27,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CollectorHello:
-    """The peer is the collector of load reports of a zone."""
+    """The peer is the load report collector of a zone."""
 
     zone: str
 
 
-# One load report: its values by the names that they have on the wire.
-LoadFigures = tuple[tuple[str, float], ...]
+# A load report as (metric name on the wire, value) pairs.
+LoadMetrics = tuple[tuple[str, float], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcomes:
-    """Attempts of a zone's proxies at a replica over `window_us`.
+    """The outcomes of the attempts that a zone's proxies made at a replica during `window_us`.
 
-    `elapsed_us` is the mean time of those that succeeded.
+    `elapsed_us` is the mean duration of the successful attempts.
     """
 
     zone: str
@@ -48,12 +49,12 @@
     failures: int
     elapsed_us: int
     window_us: int
-    load: LoadFigures | None
+    load: LoadMetrics | None
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyHello:
-    """The peer is a proxy; a new one has no table that a governor sent."""
+    """The peer is a proxy; a new proxy has not received any table from a governor."""
 
     proxy: int
     zone: str
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """A proxy has applied a push; `elapsed_us` is the time since it was sent, as the proxy measured it."""
+    """A proxy has applied a push; `elapsed_us` is the time since the push was sent, measured by the proxy."""
 
     proxy: int
     revision: int
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Requests of a class that reached a proxy over `window_us`, and those of them that had no answer."""
+    """Requests of a class that a proxy received during `window_us`, and how many got no response."""
 
     proxy: int
     request_class: str
@@ -83,9 +84,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedLine:
-    """A line of a known kind with a field that is missing, of another type or out of range.
+    """A line of a known kind with a field that is missing, has the wrong type or is out of range.
 
-    It costs only itself: the lines after it are read as usual.
+    The lines after it are parsed as usual.
     """
 
     kind: str
@@ -99,9 +100,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PushPart:
-    """One part of a push message; without `classes` it is for all classes.
+    """One part of a push message; an empty `classes` means all classes.
 
-    `admission` is the admitted share and the retry policy, `revision` the number that the proxy acknowledges.
+    `admission` is the admitted share and the retry policy; `revision` is the number that the proxy has to
+    acknowledge.
     """
 
     classes: tuple[str, ...] = ()
@@ -114,26 +116,26 @@
 
 
 def format_number(value: float) -> str:
-    """Returns `value` with up to six decimals and without an exponent; a value above 0 stays above 0."""
+    """Formats `value` with up to six decimals and without an exponent; a positive value stays positive."""
     rounded = max(value, _SMALLEST_WEIGHT) if value > 0 else 0.0
     return f"{rounded:.6f}".rstrip("0").rstrip(".")
 
 
 def format_push(parts: Sequence[PushPart]) -> bytes:
-    """Returns one message of all parts.
+    """Encodes the parts as one message.
 
     Raises:
-        ValueError: There is no part, or more than `MAX_PUSH_PARTS`.
+        ValueError: There are no parts, or more than `MAX_PUSH_PARTS`.
     """
     if not 0 < len(parts) <= MAX_PUSH_PARTS:
-        raise ValueError(f"a message of {len(parts)} parts")
+        raise ValueError(f"push message of {len(parts)} parts")
     last = len(parts) - 1
     lines = [_format_part(part, is_last=index == last) for index, part in enumerate(parts)]
     return "".join(lines).encode()
 
 
 def format_error(reason: str) -> bytes:
-    """Returns the message that is sent before a connection is closed."""
+    """Encodes the error message that is sent before a connection is closed."""
     words = "-".join(reason.split())
     return f"error why={words[:_MAX_ERROR_CHARACTERS]}\r\n".encode(errors="replace")
 
