--- a/gradehoist/protocol/proxy_state.py
+++ b/gradehoist/protocol/proxy_state.py
@@ -1,4 +1,4 @@
-"""The state that a proxy keeps from the feed: tables, withdrawals, admission shares, routes, rate limits."""
+"""The state that a proxy builds from the feed: tables, withdrawals, admission, routes and rate limits."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class TableKey(NamedTuple):
-    """Names a table: its number has a meaning within one binding epoch only."""
+    """Identifies a table; table numbers are unique within one binding epoch only."""
 
     binding_epoch: int
     table: int
@@ -33,28 +33,28 @@
 
 
 class AdmissionKey(NamedTuple):
-    """What an admission share is for; table None stands for all tables."""
+    """Identifies what an admission share applies to; table None means all tables."""
 
     table: int | None
     request_class: str
 
 
 class Admission(NamedTuple):
-    """The share of requests that is admitted, and the retry policy of those (0 to 3)."""
+    """The share of requests that is admitted and their retry policy (0 to 3)."""
 
     admitted_share: float
     retry_policy: int
 
 
 class ProxyState:
-    """What a proxy decides by, updated message by message.
+    """The state on which a proxy bases its decisions, updated by each message.
 
-    A binding epoch begins with the first bind of a stream. Tables of earlier epochs stay until the last of
-    their classes is bound again.
+    A binding epoch begins with the first bind of a stream. A table of an earlier epoch is kept until all of
+    its classes are bound again.
     """
 
     def __init__(self) -> None:
-        """Begins without tables; `install_default_tables` or the first bind brings them."""
+        """Creates a state without tables; `install_default_tables` or the first bind adds them."""
         self.binding_epoch = 0
         self.tables: dict[TableKey, dict[str, float]] = {}
         self.table_by_class: dict[str, TableKey] = {}
@@ -65,18 +65,18 @@
         self.rate_limits: RateLimitsDelta | None = None
 
     def install_default_tables(self, classes: dict[str, dict[str, float]]) -> None:
-        """Installs a table for each class, which holds until the first bind."""
+        """Installs a table for each class, to be used until the first bind."""
         for number, (request_class, weights) in enumerate(classes.items()):
             key = TableKey(binding_epoch=0, table=number)
             self.tables[key] = dict(weights)
             self.table_by_class[request_class] = key
 
     def begin_stream(self) -> None:
-        """Begins a new stream; the state stays in force until its first bind or snapshot."""
+        """Begins a new stream; the present state is used until the stream's first bind or snapshot."""
         self.is_bound = False
 
     def apply(self, message: Message) -> None:
-        """Applies a message, whose deltas count in their order."""
+        """Applies the deltas of a message in order."""
         if message.is_snapshot:
             self.withdrawn = set()
             self.admission = {}
@@ -86,20 +86,25 @@
             self._apply_delta(delta)
 
     def weights_for(self, request_class: str) -> dict[str, float]:
-        """Returns the weights of the replicas that the class may choose from, without those withdrawn."""
+        """Returns the weights of the replicas available to a class, without withdrawn replicas."""
         table = self.tables.get(self.table_by_class.get(request_class, _NO_TABLE), {})
         return {replica: weight for replica, weight in table.items() if replica not in self.withdrawn}
 
     def admission_for(self, request_class: str, default_retry_policy: int) -> Admission:
-        """Returns the admission of a class: the lower of two shares, and the table's own retry policy."""
-        everywhere = self.admission.get(
+        """Returns the admission of a class.
+
+        It is the lower of the table's share and the share for all tables, with the table's retry policy.
+        """
+        common = self.admission.get(
             AdmissionKey(None, request_class), Admission(FULL_SHARE, default_retry_policy)
         )
         table = self.table_by_class.get(request_class, _NO_TABLE).table
-        own = self.admission.get(AdmissionKey(table, request_class))
-        if own is None:
-            return everywhere
-        return Admission(min(own.admitted_share, everywhere.admitted_share), own.retry_policy)
+        table_admission = self.admission.get(AdmissionKey(table, request_class))
+        if table_admission is None:
+            return common
+        return Admission(
+            min(table_admission.admitted_share, common.admitted_share), table_admission.retry_policy
+        )
 
     def _apply_delta(self, delta: Delta) -> None:
         match delta:
@@ -140,8 +145,8 @@
         self.tables[key] = dict(delta.weights)
         for request_class in delta.classes:
             self.table_by_class[request_class] = key
-        # Shares that still hold follow. One left from an earlier binding outlived the table's clearing, which
-        # a proxy that is not bound to the table is not notified of.
+        # Shares that are still in force follow in the message. Drop the others: a proxy that was not bound to
+        # the table when it was cleared was not notified of that, and kept a share from an earlier binding.
         self._end_admission(delta.table)
         self._drop_unused_tables()
 
