--- a/gradehoist/cells/assignment.py
+++ b/gradehoist/cells/assignment.py
@@ -20,8 +20,8 @@
 
 from gradehoist.coordination.fencing import FencingToken, TokenOrder, compare_tokens
 
-Keys = frozenset[str]
-NO_KEYS: Keys = frozenset()
+WriteKeys = frozenset[str]
+NO_WRITE_KEYS: WriteKeys = frozenset()
 
 FIRST_GENERATION = 1  # of a tenant that was never migrated
 
@@ -51,7 +51,7 @@
     generation: int
     migration_id: str
     cell: str = ""
-    completed_keys: Keys = NO_KEYS
+    completed_keys: WriteKeys = NO_WRITE_KEYS
 
     @property
     def token(self) -> FencingToken:
@@ -83,7 +83,7 @@
     sender: str
     assignment: TenantAssignment
     has_writes_in_flight: bool = False
-    completed_keys: Keys = NO_KEYS
+    completed_keys: WriteKeys = NO_WRITE_KEYS
 
 
 Assignments = Mapping[str, TenantAssignment]
@@ -105,9 +105,9 @@
     name: str
     cell: str
     assignments: Assignments = field(default_factory=dict)
-    completed: Mapping[str, Keys] = field(default_factory=dict)
+    completed: Mapping[str, WriteKeys] = field(default_factory=dict)
     lease_until_us: int = -1
-    in_flight: Mapping[str, Keys] = field(default_factory=dict)
+    in_flight: Mapping[str, WriteKeys] = field(default_factory=dict)
 
     def restarted(self) -> ReplicaFence:
         """What is left after a crash."""
@@ -122,11 +122,11 @@
             return self, WriteDecision.WRONG_CELL
         if now_us >= self.lease_until_us:
             return self, WriteDecision.NO_LEASE
-        if key in self.completed.get(tenant, NO_KEYS):
+        if key in self.completed.get(tenant, NO_WRITE_KEYS):
             return self, WriteDecision.DUPLICATE
         if assignment is not None and key in assignment.completed_keys:
             return self, WriteDecision.DUPLICATE
-        running = self.in_flight.get(tenant, NO_KEYS)
+        running = self.in_flight.get(tenant, NO_WRITE_KEYS)
         if key in running:
             return self, WriteDecision.IN_FLIGHT
         accepted = replace(self, in_flight={**self.in_flight, tenant: running | {key}})
@@ -134,12 +134,12 @@
 
     def complete_write(self, tenant: str, key: str) -> ReplicaFence:
         """The fence after the effect of an accepted write, to be persisted together with it."""
-        completed = self.completed.get(tenant, NO_KEYS) | {key}
-        return replace(self.drop_write(tenant, key), completed={**self.completed, tenant: completed})
+        completed = self.completed.get(tenant, NO_WRITE_KEYS) | {key}
+        return replace(self.abandon_write(tenant, key), completed={**self.completed, tenant: completed})
 
-    def drop_write(self, tenant: str, key: str) -> ReplicaFence:
+    def abandon_write(self, tenant: str, key: str) -> ReplicaFence:
         """The fence after an accepted write that will never run, as nobody waits for it any more."""
-        remaining = self.in_flight.get(tenant, NO_KEYS) - {key}
+        remaining = self.in_flight.get(tenant, NO_WRITE_KEYS) - {key}
         return replace(self, in_flight={**self.in_flight, tenant: remaining})
 
     def apply_assignment(self, assignment: TenantAssignment) -> tuple[ReplicaFence, AssignmentAck]:
@@ -148,7 +148,7 @@
         if assignment.supersedes(self.assignments.get(assignment.tenant)):
             after = replace(self, assignments={**self.assignments, assignment.tenant: assignment})
         current = after.assignments[assignment.tenant]
-        completed = after.completed.get(assignment.tenant, NO_KEYS)
+        completed = after.completed.get(assignment.tenant, NO_WRITE_KEYS)
         return after, AssignmentAck(
             sender=self.name,
             assignment=current,
--- a/gradehoist/cells/migration.py
+++ b/gradehoist/cells/migration.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from gradehoist.cells.assignment import NO_KEYS, AssignmentAck, Keys, TenantAssignment
+from gradehoist.cells.assignment import NO_WRITE_KEYS, AssignmentAck, TenantAssignment, WriteKeys
 from gradehoist.cells.errors import MigrationStateError
 from gradehoist.coordination.fencing import FencingToken, TokenOrder, compare_tokens
 
@@ -63,9 +63,9 @@
     generation: int = msgspec.field(name="gen")
     step: MigrationStep = MigrationStep.CLOSE
     must_close_source: bool = msgspec.field(default=True, name="fenced")
-    confirmed_governors: Keys = msgspec.field(default=NO_KEYS, name="known")
-    confirmed_replicas: Keys = msgspec.field(default=NO_KEYS, name="shut")
-    completed_keys: Keys = msgspec.field(default=NO_KEYS, name="keys")
+    confirmed_governors: WriteKeys = msgspec.field(default=NO_WRITE_KEYS, name="known")
+    confirmed_replicas: WriteKeys = msgspec.field(default=NO_WRITE_KEYS, name="shut")
+    completed_keys: WriteKeys = msgspec.field(default=NO_WRITE_KEYS, name="keys")
     governors_confirmed_us: int = msgspec.field(default=-1, name="since")
     is_undo: bool = msgspec.field(default=False, name="undone")
     conflict: str = ""
@@ -97,7 +97,7 @@
             pending += self._unconfirmed_replicas(replicas_by_cell[self.source])
         return pending
 
-    def acknowledged(self, now_us: int, ack: AssignmentAck, governors: Iterable[str]) -> Migration:
+    def with_acknowledgement(self, now_us: int, ack: AssignmentAck, governors: Iterable[str]) -> Migration:
         """The record after an answer; one to an earlier step or generation changes nothing."""
         held = ack.assignment
         if held.tenant != self.tenant or self.step is MigrationStep.DONE:
@@ -143,8 +143,8 @@
             return msgspec.structs.replace(
                 self,
                 step=MigrationStep.OPEN,
-                confirmed_governors=NO_KEYS,
-                confirmed_replicas=NO_KEYS,
+                confirmed_governors=NO_WRITE_KEYS,
+                confirmed_replicas=NO_WRITE_KEYS,
                 governors_confirmed_us=-1,
             )
         if has_all_governors and self.governors_confirmed_us < 0:
--- a/gradehoist/cli/cell_status.py
+++ b/gradehoist/cli/cell_status.py
@@ -14,7 +14,7 @@
 
 from gradehoist.cells.migration import Migration
 from gradehoist.cli.errors import InputError
-from gradehoist.migration.planning import pending_migrations, tenant_cells
+from gradehoist.migration.planning import locate_tenants, pending_migrations
 from gradehoist.migration.queries import fetch_governor_status
 from gradehoist.migration.records import load_draining_cells, load_migrations
 from gradehoist.net.client import HttpClient
@@ -69,7 +69,7 @@
     placement: CellPlacement, state: _MigrationState, statuses: Mapping[str, CellStatus] | None
 ) -> None:
     tenants_by_cell: dict[str, list[str]] = defaultdict(list)
-    for tenant, cell in tenant_cells(state.migrations, placement).items():
+    for tenant, cell in locate_tenants(state.migrations, placement).items():
         tenants_by_cell[cell].append(tenant)
     table = Table(title=f"{len(placement.cells)} cells", title_justify="left")
     status_columns = STATUS_COLUMNS if statuses is not None else ()
--- a/gradehoist/cli/migrations.py
+++ b/gradehoist/cli/migrations.py
@@ -15,9 +15,9 @@
 from gradehoist.cli.placement_files import require_placement
 from gradehoist.migration.planning import (
     create_migrations,
+    locate_tenants,
     pending_migrations,
     plan_cell_drain,
-    tenant_cells,
 )
 from gradehoist.migration.records import load_draining_cells, load_migrations, save_draining_cells
 from gradehoist.migration.runner import MigrationRunner
@@ -32,7 +32,7 @@
         InputError: There is no placement, or the records of migrations can't be read.
     """
     try:
-        cell_by_tenant = tenant_cells(load_migrations(store), require_placement(settings))
+        cell_by_tenant = locate_tenants(load_migrations(store), require_placement(settings))
     except ValueError as error:
         raise InputError(str(error)) from None
     tenants = [tenant for tenant, current in cell_by_tenant.items() if current == cell]
--- a/gradehoist/migration/planning.py
+++ b/gradehoist/migration/planning.py
@@ -19,7 +19,7 @@
     return [m for m in migrations if m.step is not MigrationStep.DONE and m.id not in undone]
 
 
-def tenant_cells(migrations: list[Migration], placement: CellPlacement) -> dict[str, str]:
+def locate_tenants(migrations: list[Migration], placement: CellPlacement) -> dict[str, str]:
     """The cell of each tenant that the placement names or that was migrated, or is on its way."""
     cells = dict(placement.cell_by_tenant)
     for migration in sorted(migrations, key=lambda m: m.generation):
@@ -38,7 +38,7 @@
     others = [name for name in placement.cells if name != cell and name not in draining]
     if not others:
         raise MigrationRejectedError(f"no other cell takes the tenants of {cell}; end the draining of one")
-    current = tenant_cells(migrations, placement)
+    current = locate_tenants(migrations, placement)
     tenant_counts = {name: sum(home == name for home in current.values()) for name in others}
     load = {name: tenant_counts[name] / len(placement.replicas_of(name)) for name in others}
     leaving = [tenant for tenant, home in current.items() if home == cell]
--- a/gradehoist/migration/runner.py
+++ b/gradehoist/migration/runner.py
@@ -113,7 +113,7 @@
         after = migration
         for ack in answers:
             if ack is not None:
-                after = after.acknowledged(monotonic_us(), ack, self._governors)
+                after = after.with_acknowledgement(monotonic_us(), ack, self._governors)
         after = after.advance(monotonic_us(), self._governors, self._replicas_by_cell, self._fencing_wait_us)
         # The time of the last confirmation is not used after a restart and needs no writing.
         if after.restarted() != migration.restarted():
--- a/gradehoist/testbed/replica.py
+++ b/gradehoist/testbed/replica.py
@@ -294,7 +294,7 @@
             return
         self.waiting.remove(job)
         if job.write is not None:
-            self.fence = self.fence.drop_write(job.write.tenant, job.idempotency_key)
+            self.fence = self.fence.abandon_write(job.write.tenant, job.idempotency_key)
 
 
 def _parse_work_ms(request: http.Request) -> float | None:
--- a/tests/support/migration_model.py
+++ b/tests/support/migration_model.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from gradehoist.cells.assignment import (
-    NO_KEYS,
+    NO_WRITE_KEYS,
     AssignmentAck,
     ReplicaFence,
     TenantAssignment,
@@ -297,7 +297,7 @@
 
     def _replica_options(self, world: World) -> Iterator[Option]:
         for name, fence in world.fences.items():
-            for key in sorted(fence.in_flight.get(TENANT, NO_KEYS)):
+            for key in sorted(fence.in_flight.get(TENANT, NO_WRITE_KEYS)):
                 yield Option(f"{name} completes", f"{name} completes {key}", self._complete(world, name, key))
             if world.happened.crashes < self.bounds.crashes:
                 after = with_fence(self._crash(world), fence.restarted())
@@ -314,7 +314,7 @@
             network=tuple(message for message in world.network if not isinstance(message, Write)),
         )
         for name, fence in world.fences.items():
-            for key in sorted(fence.in_flight.get(TENANT, NO_KEYS)):
+            for key in sorted(fence.in_flight.get(TENANT, NO_WRITE_KEYS)):
                 later = self._complete(later, name, key)
         yield Option("time passes", "time passes", later)
 
@@ -322,7 +322,7 @@
         """The effect of a write. Within a cell its ledger takes a key once; between cells migrations must."""
         after = with_fence(world, world.fences[name].complete_write(TENANT, key))
         cell = self.replicas_by_cell[world.fences[name].cell]
-        if any(key in world.fences[other].completed.get(TENANT, NO_KEYS) for other in cell):
+        if any(key in world.fences[other].completed.get(TENANT, NO_WRITE_KEYS) for other in cell):
             return after
         return replace(after, effects=tuple(sorted((*world.effects, key))))
 
@@ -336,7 +336,7 @@
             return False
         match message:
             case Answer(ack):
-                return world.migration.acknowledged(world.now, ack, self.governors) == world.migration
+                return world.migration.with_acknowledgement(world.now, ack, self.governors) == world.migration
             case Notify(recipient, assignment):
                 holder = world.directories.get(recipient) or world.fences[recipient]
                 known = holder.assignments.get(TENANT)
@@ -354,7 +354,7 @@
             case Notify(recipient, assignment):
                 return self._deliver_assignment(after, recipient, assignment)
             case Answer(ack) if world.migration is not None:
-                return persist(after, world.migration.acknowledged(world.now, ack, self.governors))
+                return persist(after, world.migration.with_acknowledgement(world.now, ack, self.governors))
         return after
 
     def _deliver_write(self, world: World, write: Write) -> World:
@@ -382,7 +382,7 @@
         if self.weakness is Weakness.BUSY_REPLICAS_CONFIRM:
             return ack._replace(has_writes_in_flight=False)
         if self.weakness is Weakness.COMPLETED_KEYS_LOST:
-            return ack._replace(completed_keys=NO_KEYS)
+            return ack._replace(completed_keys=NO_WRITE_KEYS)
         return ack
 
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -98,7 +98,7 @@
     directory, ack = directory.apply_assignment(TenantAssignment(TENANT, 2, "second"))
     second = Migration(id="second", tenant=TENANT, source="A", target="C", generation=2)
 
-    after = second.acknowledged(0, ack, GOVERNORS)
+    after = second.with_acknowledgement(0, ack, GOVERNORS)
 
     assert "first" in after.conflict
     assert after.pending_recipients(GOVERNORS, {"A": ("a1",), "C": ("c1",)}) == []
