--- a/gradehoist/cells/__init__.py
+++ b/gradehoist/cells/__init__.py
@@ -1,1 +1,4 @@
-"""Cells: tenants confined to subsets of the replicas. Free of I/O; time and random numbers are passed in."""
+"""Cells, which confine tenants to subsets of the replicas.
+
+The package does no I/O and reads no clock: callers pass the time in.
+"""
--- a/gradehoist/cells/assignment.py
+++ b/gradehoist/cells/assignment.py
@@ -1,14 +1,16 @@
-"""Tenant assignments, and what governors and replicas know of them. Free of I/O.
+"""Assignments of tenants to cells, as governors and replicas store and enforce them.
 
-Each tenant has a generation. A generation has one cell; a higher one ends all lower ones where it is known.
+This module does no I/O. Each tenant has a generation number, and each generation belongs to one cell. A
+process that learns of a higher generation no longer accepts any lower one.
 
-- `ReplicaFence`, at a replica, accepts a write only under a lease and only of the generation that is open
-  there. The assignments that it knows and the writes that it completed outlive a crash; its lease does not.
-- `TenantDirectory`, at a governor, holds the assignments that it was notified of, persisted before they are
-  acknowledged. Its heartbeats renew leases and carry the whole directory, so no replica has a lease from a
-  governor that knows more than the replica does.
+- `ReplicaFence` runs at a replica. It accepts a write only while the replica holds a lease, and only for the
+  generation that is open in the replica's cell. Its assignments and completed writes survive a crash; its
+  lease does not.
+- `TenantDirectory` runs at a governor. It holds the assignments that the governor was notified of, which are
+  persisted before they are acknowledged. Heartbeats renew the replicas' leases and carry the whole directory,
+  so a replica never holds a lease from a governor that knows a newer assignment than the replica does.
 
-Both are frozen values with methods that return the next one; the caller persists it.
+Both classes are immutable: their methods return the next state, which the caller persists.
 """
 
 from __future__ import annotations
@@ -23,28 +25,34 @@
 WriteKeys = frozenset[str]
 NO_WRITE_KEYS: WriteKeys = frozenset()
 
-FIRST_GENERATION = 1  # of a tenant that was never migrated
+FIRST_GENERATION = 1  # the generation of a tenant that has never migrated
 
 
 class WriteDecision(Enum):
-    """What a replica decides on a write: ACCEPT alone runs it; WRONG_CELL, NO_LEASE prove it never ran."""
+    """A replica's decision on a write.
+
+    Only ACCEPT runs the write; WRONG_CELL and NO_LEASE prove that it never ran at this replica.
+    """
 
     ACCEPT = "take"
-    DUPLICATE = "known"  # the key was completed before: it is answered again and not run
-    IN_FLIGHT = "busy"  # the key is running: retry
+    # A write with this key has completed: the replica repeats the response and does not run it again.
+    DUPLICATE = "known"
+    # A write with this key is running: the client has to retry later.
+    IN_FLIGHT = "busy"
     WRONG_CELL = "moved"
     NO_LEASE = "no lease"
 
 
 class TenantAssignment(NamedTuple):
-    """Where a tenant lives from a generation on; encoded as an array.
+    """The cell that serves a tenant in one generation; encoded as an array.
 
     Attributes:
-        tenant: Name of the tenant.
-        generation: Of the tenant; it grows with each migration.
+        tenant: The name of the tenant.
+        generation: The tenant's generation, which each migration increments.
         migration_id: The migration that made this assignment.
-        cell: The cell that is open to it, or "" where it is closed everywhere.
-        completed_keys: Writes completed elsewhere, which replicas of the cell have to know.
+        cell: The cell that accepts the tenant's requests, or "" while no cell does.
+        completed_keys: Keys of writes completed in the previous cell, which replicas of the new cell must not
+            run again.
     """
 
     tenant: str
@@ -55,11 +63,15 @@
 
     @property
     def token(self) -> FencingToken:
-        """The token by which assignments of a tenant are ordered."""
+        """The fencing token that orders the assignments of a tenant."""
         return FencingToken(self.generation, self.migration_id)
 
     def supersedes(self, other: TenantAssignment | None) -> bool:
-        """Whether it is newer than another: a higher generation, or the opening by the same migration."""
+        """Whether this assignment replaces `other`.
+
+        It does with a higher generation, or if it opens the cell that `other`, of the same migration, left
+        closed.
+        """
         if other is None:
             return True
         match compare_tokens(self.token, other.token):
@@ -71,13 +83,13 @@
 
 
 class AssignmentAck(NamedTuple):
-    """The answer to an assignment; encoded as an array.
+    """The acknowledgement of an assignment; encoded as an array.
 
     Attributes:
-        sender: The governor or replica that answers.
-        assignment: The assignment that it now follows.
-        has_writes_in_flight: Whether writes of the tenant are still running there.
-        completed_keys: Writes of the tenant that it completed.
+        sender: The governor or replica that acknowledges.
+        assignment: The assignment that it now follows, which may be newer than the one it was sent.
+        has_writes_in_flight: Whether writes of the tenant are still running at the sender.
+        completed_keys: Keys of the tenant's writes that the sender knows as completed.
     """
 
     sender: str
@@ -91,15 +103,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaFence:
-    """What a replica knows of tenants.
+    """Decides which writes a replica may run.
 
     Attributes:
-        name: The replica.
-        cell: The cell that it belongs to.
-        assignments: By tenant; persisted.
+        name: The name of the replica.
+        cell: The cell that the replica belongs to.
+        assignments: The latest assignment of each tenant; persisted.
         completed: Keys of completed writes by tenant; persisted.
-        lease_until_us: When its lease expires; lost with the process.
-        in_flight: Keys of running writes by tenant; lost with the process.
+        lease_until_us: The time at which the replica's lease expires; lost when the process ends.
+        in_flight: Keys of running writes by tenant; lost when the process ends.
     """
 
     name: str
@@ -110,13 +122,13 @@
     in_flight: Mapping[str, WriteKeys] = field(default_factory=dict)
 
     def restarted(self) -> ReplicaFence:
-        """What is left after a crash."""
+        """Returns the fence as it is after a crash of the replica: without a lease or running writes."""
         return replace(self, lease_until_us=-1, in_flight={})
 
     def check_write(
         self, now_us: int, tenant: str, cell: str, generation: int, key: str
     ) -> tuple[ReplicaFence, WriteDecision]:
-        """Decide on a write that a proxy routed to `cell` by `generation`."""
+        """Decides on a write that a proxy routed to `cell` in `generation`; returns the fence after it."""
         assignment = self.assignments.get(tenant)
         if cell != self.cell or not self._is_open(assignment, generation):
             return self, WriteDecision.WRONG_CELL
@@ -133,17 +145,20 @@
         return accepted, WriteDecision.ACCEPT
 
     def complete_write(self, tenant: str, key: str) -> ReplicaFence:
-        """The fence after the effect of an accepted write, to be persisted together with it."""
+        """Returns the fence after an accepted write took effect, to be persisted together with the effect."""
         completed = self.completed.get(tenant, NO_WRITE_KEYS) | {key}
         return replace(self.abandon_write(tenant, key), completed={**self.completed, tenant: completed})
 
     def abandon_write(self, tenant: str, key: str) -> ReplicaFence:
-        """The fence after an accepted write that will never run, as nobody waits for it any more."""
+        """Returns the fence without an accepted write that will not run, because its client has given up."""
         remaining = self.in_flight.get(tenant, NO_WRITE_KEYS) - {key}
         return replace(self, in_flight={**self.in_flight, tenant: remaining})
 
     def apply_assignment(self, assignment: TenantAssignment) -> tuple[ReplicaFence, AssignmentAck]:
-        """Take an assignment; its acknowledgement may be sent once the fence is persisted."""
+        """Applies an assignment unless a newer one is known.
+
+        Returns the fence and the acknowledgement, which may be sent only once the fence is persisted.
+        """
         after = self
         if assignment.supersedes(self.assignments.get(assignment.tenant)):
             after = replace(self, assignments={**self.assignments, assignment.tenant: assignment})
@@ -159,14 +174,14 @@
     def renew_lease(
         self, now_us: int, lease_us: int, assignments: Iterable[TenantAssignment]
     ) -> ReplicaFence:
-        """The fence after a governor's heartbeat with its whole directory."""
+        """Returns the fence after a governor's heartbeat, which carries the governor's whole directory."""
         after = self
         for assignment in assignments:
             after, _ = after.apply_assignment(assignment)
         return replace(after, lease_until_us=max(after.lease_until_us, now_us + lease_us))
 
     def _is_open(self, assignment: TenantAssignment | None, generation: int) -> bool:
-        """Whether this generation of a tenant is open in the replica's cell."""
+        """Whether the replica's cell accepts writes of this generation of a tenant."""
         if assignment is None:
             return generation == FIRST_GENERATION
         return generation == assignment.generation and assignment.cell == self.cell
@@ -174,24 +189,31 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantDirectory:
-    """What a governor knows of tenants; all of it is persisted before it acknowledges."""
+    """The assignments that a governor knows, by tenant; persisted before they are acknowledged."""
 
     name: str
     assignments: Assignments = field(default_factory=dict)
 
     def apply_assignment(self, assignment: TenantAssignment) -> tuple[TenantDirectory, AssignmentAck]:
-        """Take an assignment; its acknowledgement may be sent once the directory is persisted."""
+        """Applies an assignment unless a newer one is known.
+
+        Returns the directory and the acknowledgement, which may be sent only once the directory is persisted.
+        """
         after = self
         if assignment.supersedes(self.assignments.get(assignment.tenant)):
             after = replace(self, assignments={**self.assignments, assignment.tenant: assignment})
         return after, AssignmentAck(self.name, after.assignments[assignment.tenant])
 
     def heartbeat_assignments(self) -> tuple[TenantAssignment, ...]:
-        """The whole directory, as each heartbeat carries it."""
+        """Returns all assignments, which each heartbeat carries."""
         return tuple(self.assignments.values())
 
     def route(self, tenant: str, home: str) -> tuple[str, int] | None:
-        """Cell and generation for proxies; None while the tenant is closed. `home` is its first cell."""
+        """Returns the cell and generation that proxies route a tenant to.
+
+        Returns None while no cell is open to the tenant. `home` is the cell of a tenant that has never
+        migrated.
+        """
         assignment = self.assignments.get(tenant)
         if assignment is None:
             return home, FIRST_GENERATION
--- a/gradehoist/cells/errors.py
+++ b/gradehoist/cells/errors.py
@@ -4,12 +4,12 @@
 
 
 class CellsError(ValueError):
-    """Base of all errors of this package; the text is for operators."""
+    """Base of all errors of this package. Their messages are shown to operators."""
 
 
 class PlacementError(CellsError):
-    """Input of which no placement can be made."""
+    """The input allows no placement at all."""
 
 
 class MigrationStateError(CellsError):
-    """An operation that a migration does not allow in its present step."""
+    """The migration does not allow the operation in its current step."""
--- a/gradehoist/cells/migration.py
+++ b/gradehoist/cells/migration.py
@@ -1,17 +1,21 @@
-"""Migration of a tenant between cells, so that old and new cell never both accept a write. Free of I/O.
+"""Migration of a tenant from a source cell to a target cell that never both accept its writes.
 
-A `Migration` is a record whose step is persisted before anything of that step is sent:
+This module does no I/O. A `Migration` is a record; each of its steps is persisted before any message of that
+step is sent:
 
-- CLOSE: governors and the source's replicas are notified that the tenant is closed.
-- OPEN: begins when every source replica has confirmed without writes in flight; or when every governor has
-  confirmed and lease and settle time have passed since. By then a replica that was not reached has no lease,
-  and a write that it accepted is settled and past any client's retry.
-- DONE: every governor has confirmed that the target is open.
+- CLOSE: governors and the source's replicas are notified that no cell is open to the tenant.
+- OPEN: governors and the target's replicas are notified that the target is open. The step begins when every
+  source replica has confirmed CLOSE without writes in flight, or when every governor has confirmed it and the
+  lease and settle times have passed since then. By that time a source replica that could not be reached has
+  no lease, and any write that it accepted has settled and is no longer retried by its client.
+- DONE: every governor has confirmed OPEN.
 
-Undoing is a migration of the next generation back to the source; it waits for the target's replicas only if
-the target may have been opened. Assumptions: clocks run at one rate within the margin of the lease; persisted
-state is not lost; one record store orders all migrations (of two with one generation the second is rejected
-wherever the first is known).
+An undo is a migration of the next generation back to the source. It waits for the target's replicas only if
+they may have been notified of OPEN.
+
+The protocol assumes that clocks run at the same rate within the margin of the lease, that persisted state is
+not lost, and that one record store orders all migrations. If two migrations get the same generation, the
+second is rejected by every process that knows the first.
 """
 
 from __future__ import annotations
@@ -25,11 +29,11 @@
 from gradehoist.cells.errors import MigrationStateError
 from gradehoist.coordination.fencing import FencingToken, TokenOrder, compare_tokens
 
-UNDO_SUFFIX = "-undo"  # of the id of a migration that undoes another
+UNDO_SUFFIX = "-undo"  # appended to a migration's id to form the id of its undo
 
 
 class MigrationStep(Enum):
-    """The steps of a migration; the values are in its record."""
+    """The steps of a migration. The values are stored in its record."""
 
     CLOSE = "shut"
     OPEN = "open"
@@ -40,20 +44,21 @@
     """The record of a migration.
 
     Attributes:
-        id: Its name, which orders the records of a store.
-        tenant: The tenant that moves.
+        id: Identifies the migration; the records of a store are sorted by it.
+        tenant: The tenant that is migrated.
         source: The cell that it leaves.
         target: The cell that it goes to.
-        generation: The tenant's generation from this migration on.
-        step: The step under way.
-        must_close_source: False where the source can't be open, as in an undo before any opening.
-        confirmed_governors: Governors that confirmed this step.
-        confirmed_replicas: Replicas that confirmed this step, without writes in flight.
+        generation: The tenant's generation that this migration creates.
+        step: The current step.
+        must_close_source: Whether the source may be open to the tenant. It is not in an undo of a migration
+            that never opened its target.
+        confirmed_governors: Governors that confirmed the current step.
+        confirmed_replicas: Replicas that confirmed the current step without writes in flight.
         completed_keys: Keys of writes that source replicas completed.
-        governors_confirmed_us: When the last governor confirmed CLOSE, by this process's clock, else -1. A
-            restarted process begins the wait anew.
+        governors_confirmed_us: The time, on this process's clock, at which the last governor confirmed CLOSE;
+            -1 before that and after a restart, which starts the wait again.
         is_undo: Whether it undoes another migration.
-        conflict: Why it was stopped for good, or "".
+        conflict: Why the migration stopped for good, or "".
     """
 
     id: str
@@ -71,11 +76,11 @@
     conflict: str = ""
 
     def restarted(self) -> Migration:
-        """The record as a process that starts with it uses it."""
+        """Returns the record as a restarted process loads it, without times of the earlier clock."""
         return msgspec.structs.replace(self, governors_confirmed_us=-1)
 
     def assignment(self) -> TenantAssignment:
-        """The assignment of this step."""
+        """Returns the assignment that governors and replicas are notified of in this step."""
         return TenantAssignment(
             tenant=self.tenant,
             generation=self.generation,
@@ -87,7 +92,7 @@
     def pending_recipients(
         self, governors: Iterable[str], replicas_by_cell: Mapping[str, Iterable[str]]
     ) -> list[str]:
-        """Governors and replicas that have yet to confirm the assignment of this step."""
+        """Returns the governors and replicas that have not yet confirmed the assignment of this step."""
         if self.conflict or self.step is MigrationStep.DONE:
             return []
         pending = [name for name in governors if name not in self.confirmed_governors]
@@ -98,16 +103,16 @@
         return pending
 
     def with_acknowledgement(self, now_us: int, ack: AssignmentAck, governors: Iterable[str]) -> Migration:
-        """The record after an answer; one to an earlier step or generation changes nothing."""
-        held = ack.assignment
-        if held.tenant != self.tenant or self.step is MigrationStep.DONE:
+        """Returns the record after an acknowledgement; those of an earlier step or generation are ignored."""
+        followed = ack.assignment
+        if followed.tenant != self.tenant or self.step is MigrationStep.DONE:
             return self
-        order = compare_tokens(held.token, FencingToken(self.generation, self.id))
+        order = compare_tokens(followed.token, FencingToken(self.generation, self.id))
         if order in (TokenOrder.NEWER, TokenOrder.CONFLICTING):
-            conflict = f"{ack.sender} holds generation {held.generation} of move {held.migration_id}"
+            conflict = f"{ack.sender} holds generation {followed.generation} of move {followed.migration_id}"
             return msgspec.structs.replace(self, conflict=conflict)
         is_open = self.step is MigrationStep.OPEN
-        if held.generation < self.generation or is_open != bool(held.cell):
+        if followed.generation < self.generation or is_open != bool(followed.cell):
             return self
         if ack.sender in set(governors):
             return self._with_governor(now_us, ack.sender, governors)
@@ -125,10 +130,10 @@
         replicas_by_cell: Mapping[str, Iterable[str]],
         wait_us: int,
     ) -> Migration:
-        """The record in its next step if the time for that has come.
+        """Returns the record in its next step if the conditions for that step are met, else the same step.
 
-        The caller persists it before it sends anything of the new step. `wait_us` is lease, settle time and
-        margin.
+        The caller persists the record before it sends any message of the new step. `wait_us` is the sum of
+        the lease, the settle time and a margin.
         """
         if self.conflict:
             return self
@@ -148,15 +153,16 @@
                 governors_confirmed_us=-1,
             )
         if has_all_governors and self.governors_confirmed_us < 0:
-            # Restarted after the last governor's answer, it has nobody left to notify: the wait begins here.
+            # The process was restarted after the last governor had confirmed: no acknowledgement will follow,
+            # so the wait begins here.
             return msgspec.structs.replace(self, governors_confirmed_us=now_us)
         return self
 
     def undo(self) -> Migration:
-        """The migration of the next generation back to the source.
+        """Returns the migration of the next generation back to the source.
 
         Raises:
-            MigrationStateError: This one is done, or is an undo itself.
+            MigrationStateError: This migration is done, or is an undo itself.
         """
         if self.step is MigrationStep.DONE:
             raise MigrationStateError(f"move {self.id} is done; order a move back to {self.source}")
@@ -180,7 +186,7 @@
         replicas_by_cell: Mapping[str, Iterable[str]],
         wait_us: int,
     ) -> str:
-        """What the migration waits for, as shown to operators."""
+        """Describes to operators what the migration is waiting for."""
         if self.conflict:
             return "stopped: " + self.conflict
         missing = sorted(name for name in governors if name not in self.confirmed_governors)
--- a/gradehoist/cells/placement.py
+++ b/gradehoist/cells/placement.py
@@ -1,7 +1,4 @@
-"""Placements of replicas and tenants in cells: their records, and a cell while a plan is made.
-
-How a placement is planned is in `placement_planner`.
-"""
+"""Data types of the placement of replicas and tenants in cells; `placement_planner` computes placements."""
 
 from __future__ import annotations
 
@@ -13,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant; `demand` is in the unit of the replicas' capacity."""
+    """A tenant. Its `demand` is in the unit of the replicas' capacity."""
 
     name: str
     demand: float
@@ -21,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """A replica; a tenant with a demand of 1 fills one of capacity 1."""
+    """A replica. A tenant with a demand of 1 fully uses a replica with a capacity of 1."""
 
     name: str
     zone: str
@@ -31,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequirements:
-    """What cells have to be like.
+    """The requirements that each cell of a placement has to meet.
 
     Attributes:
-        cell_count: How many cells there are.
-        min_replicas: Replicas of each cell.
-        min_zones: Zones in which each cell has replicas.
-        max_tenant_share: Share of a cell's tenant capacity that one tenant may fill.
-        spare_share: Share of a cell's capacity that is kept free.
-        survives_zone_loss: Whether a cell's tenants have to fit when its largest zone is lost.
+        cell_count: The number of cells.
+        min_replicas: The fewest replicas in a cell.
+        min_zones: The fewest zones in which a cell has replicas.
+        max_tenant_share: The largest share of a cell's tenant capacity that one tenant may use.
+        spare_share: The share of a cell's capacity that is kept free.
+        survives_zone_loss: Whether a cell's tenants have to fit after the loss of its largest zone.
     """
 
     cell_count: int
@@ -52,7 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The number of the cell, from 0, by replica and by tenant; `unmet_requirements` is for operators."""
+    """The number of the cell, from 0, of each replica and each tenant.
+
+    `unmet_requirements` describes to operators which requirements could not be met.
+    """
 
     replicas: Mapping[str, int]
     tenants: Mapping[str, int]
@@ -60,13 +60,13 @@
 
 
 def stable_hash(*names: object) -> int:
-    """A number that depends on the names alone, the same on every machine."""
+    """Returns a hash of the names that is the same in every process and on every machine."""
     return zlib.crc32(repr(names).encode())
 
 
 @dataclass
 class Cell:
-    """A cell while the plan is made."""
+    """A cell while a placement is being planned."""
 
     number: int
     capacity: float = 0.0
@@ -76,13 +76,13 @@
     tenants: list[Tenant] = field(default_factory=list)
 
     def add_replica(self, replica: Replica) -> None:
-        """Give the cell one more replica."""
+        """Adds a replica to the cell."""
         self.replicas[replica.name] = replica
         self.capacity += replica.capacity
         self.capacity_by_zone[replica.zone] += replica.capacity
 
     def remove_replica(self, replica: Replica) -> None:
-        """Take a replica from the cell."""
+        """Removes a replica from the cell."""
         del self.replicas[replica.name]
         self.capacity -= replica.capacity
         self.capacity_by_zone[replica.zone] -= replica.capacity
@@ -90,25 +90,25 @@
             del self.capacity_by_zone[replica.zone]
 
     def add_tenant(self, tenant: Tenant) -> None:
-        """Place a tenant in the cell."""
+        """Places a tenant in the cell."""
         self.tenants.append(tenant)
         self.load += tenant.demand
 
     def remove_tenant(self, tenant: Tenant) -> None:
-        """Take a tenant from the cell."""
+        """Removes a tenant from the cell."""
         self.tenants.remove(tenant)
         self.load -= tenant.demand
 
     def count_in_zone(self, zone: str) -> int:
-        """Replicas of the cell in one zone."""
+        """Returns the number of the cell's replicas in a zone."""
         return sum(replica.zone == zone for replica in self.replicas.values())
 
     def tenant_capacity(self, requirements: PlacementRequirements) -> float:
-        """Demand that the cell's tenants may have together."""
-        lost = 0.0
+        """Returns the total demand that the cell's tenants may have."""
+        lost_capacity = 0.0
         if requirements.survives_zone_loss and len(self.capacity_by_zone) > 1:
-            lost = max(self.capacity_by_zone.values())
-        return max(0.0, (self.capacity - lost) * (1 - requirements.spare_share))
+            lost_capacity = max(self.capacity_by_zone.values())
+        return max(0.0, (self.capacity - lost_capacity) * (1 - requirements.spare_share))
 
     def is_undersized(self, requirements: PlacementRequirements) -> bool:
         """Whether the cell has too few replicas or zones."""
--- a/gradehoist/cells/placement_planner.py
+++ b/gradehoist/cells/placement_planner.py
@@ -1,9 +1,9 @@
-"""Planning of a placement: a pure function, the same for the same input.
+"""Plans placements with a pure, deterministic function.
 
-A new plan keeps an earlier one as far as it can. A replica that is added moves nobody. One that is removed
-moves one other replica at most, and only where its cell would fall below the minimum. Tenants move only out
-of cells that exceed their capacity. Ties are decided by a hash of the names, so the order of the input has no
-effect.
+A new placement changes an earlier one as little as possible. Adding a replica moves no other replica and no
+tenant. Removing a replica moves at most one other replica, and only if the removed replica's cell would
+otherwise fall below the minimum. Tenants move only out of cells that exceed their capacity. Ties are broken
+by a hash of the names, so the order of the input has no effect.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from gradehoist.cells.placement import Cell, Placement, PlacementRequirements, Replica, Tenant, stable_hash
 from gradehoist.cells.routes import home_cell
 
-# Loads are sums of floats: smaller differences are rounding.
+# Loads are sums of floating-point numbers; differences below this are rounding errors.
 LOAD_TOLERANCE = 1e-9
 
 
@@ -25,10 +25,10 @@
     requirements: PlacementRequirements,
     before: Placement | None = None,
 ) -> Placement:
-    """Make a placement that keeps `before` as far as it can.
+    """Returns a placement that changes `before` as little as possible.
 
     Raises:
-        PlacementError: No cell could be made at all, or a name stands twice.
+        PlacementError: There are fewer replicas than cells, or a name occurs twice.
     """
     by_demand = sorted(tenants, key=_tenant_order)
     by_zone = sorted(replicas, key=_replica_order)
@@ -49,9 +49,10 @@
 
 
 def split_replicas(replicas: Iterable[Replica]) -> tuple[list[Replica], list[Replica]]:
-    """Split a cell's replicas into two halves.
+    """Splits a cell's replicas into two halves.
 
-    Zone by zone, the largest first, each goes to the half that has fewer of the zone and then less capacity.
+    The replicas are distributed zone by zone, the largest first. Each goes to the half with fewer replicas in
+    its zone, then fewer replicas in all, then less capacity.
     """
     halves: tuple[list[Replica], list[Replica]] = ([], [])
     for replica in sorted(replicas, key=_replica_order):
@@ -82,7 +83,7 @@
     requirements: PlacementRequirements,
     before: Mapping[str, int],
 ) -> None:
-    """Leave replicas in their cells; give each other one to the cell that needs it most."""
+    """Leaves replicas in their earlier cells and assigns each new one to the cell that needs it most."""
     kept = {name: number for name, number in before.items() if 0 <= number < len(cells)}
     for replica in replicas:
         if replica.name in kept:
@@ -93,10 +94,10 @@
 
 
 def _neediest_cell(cells: list[Cell], replica: Replica, requirements: PlacementRequirements) -> Cell:
-    """An undersized cell first, then the one with fewest replicas of this zone, then the smallest.
+    """Returns an undersized cell if there is one, else the cell with the fewest replicas in the zone.
 
-    Replicas of the zone are counted and not summed: by capacity, the odd replica of every zone went to one
-    cell, which became twice as large.
+    Ties go to the cell with the least capacity. The zone's replicas are counted, not summed by capacity:
+    compared by capacity, the odd replica of every zone went to the same cell, which became twice as large.
     """
 
     def rank(cell: Cell) -> tuple[bool, int, float, int]:
@@ -111,7 +112,7 @@
 
 
 def _fill_undersized_cells(cells: list[Cell], requirements: PlacementRequirements) -> list[str]:
-    """Move replicas, one at a time, to undersized cells; return the cells for which none can be spared."""
+    """Moves replicas to undersized cells; returns descriptions of the cells that stay undersized."""
     unmet = []
     for cell in cells:
         while cell.is_undersized(requirements):
@@ -119,8 +120,8 @@
             if found is None:
                 unmet.append(
                     f"cell {cell.number} has {len(cell.replicas)} workers in "
-                    f"{len(cell.capacity_by_zone)} zones; {requirements.min_replicas} in "
-                    f"{requirements.min_zones} are wanted and none can be spared"
+                    f"{len(cell.capacity_by_zone)} zones but needs {requirements.min_replicas} in "
+                    f"{requirements.min_zones}; no other cell can spare one"
                 )
                 break
             donor, replica = found
@@ -132,7 +133,10 @@
 def _find_donor(
     cells: list[Cell], cell: Cell, requirements: PlacementRequirements
 ) -> tuple[Cell, Replica] | None:
-    """The replica that can best be spared for `cell`, with its present cell: the largest donor's smallest."""
+    """Returns the replica to move to `cell`, and its current cell, or None if no cell can spare one.
+
+    It is the replica whose removal leaves its cell with the most capacity.
+    """
     needs_zone = len(cell.capacity_by_zone) < requirements.min_zones
     best: tuple[tuple[float, int], Cell, Replica] | None = None
     for donor in cells:
@@ -150,13 +154,13 @@
 
 
 def _can_spare(donor: Cell, replica: Replica, requirements: PlacementRequirements) -> bool:
-    """Whether the donor keeps enough zones without this replica."""
+    """Whether the donor still has replicas in enough zones without this one."""
     is_last_of_zone = donor.count_in_zone(replica.zone) == 1
     return not is_last_of_zone or len(donor.capacity_by_zone) > requirements.min_zones
 
 
 class _TenantPlacement:
-    """Places tenants in cells whose replicas are settled."""
+    """Places tenants in cells whose replicas are already assigned."""
 
     def __init__(
         self,
@@ -172,17 +176,17 @@
         self._capacities = [cell.tenant_capacity(requirements) for cell in cells]
 
     def place(self) -> list[str]:
-        """Place all tenants; return what could not be had."""
+        """Places all tenants; returns descriptions of the requirements that are not met."""
         unmet = self._check_demands()
         unplaced = self._keep_tenants()
         for cell in self._cells:
-            unplaced += self._relieve(cell)
+            unplaced += self._remove_excess_tenants(cell)
         unplaced.sort(key=_tenant_order)
         self._assign_to_least_loaded(self._assign_to_home_cells(unplaced))
         for cell in self._cells:
             capacity = self._capacities[cell.number]
             if cell.load > capacity + LOAD_TOLERANCE:
-                unmet.append(f"cell {cell.number} carries {cell.load:.4g} with room for {capacity:.4g}")
+                unmet.append(f"cell {cell.number}: load {cell.load:.4g} exceeds capacity {capacity:.4g}")
         return unmet
 
     def _check_demands(self) -> list[str]:
@@ -191,15 +195,15 @@
         for tenant in self._tenants:
             if tenant.demand > largest:
                 unmet.append(
-                    f"tenant {tenant.name} asks for {tenant.demand:.4g}; the largest cell has room for "
-                    f"{largest:.4g}: split it, or make fewer and larger cells"
+                    f"tenant {tenant.name} has a demand of {tenant.demand:.4g}, but the largest cell has a "
+                    f"capacity of {largest:.4g}; split the tenant, or make fewer and larger cells"
                 )
             elif tenant.demand > largest * self._max_tenant_share:
-                unmet.append(f"tenant {tenant.name} would fill over {self._max_tenant_share:.0%} of any cell")
+                unmet.append(f"tenant {tenant.name} would use over {self._max_tenant_share:.0%} of any cell")
         return unmet
 
     def _keep_tenants(self) -> list[Tenant]:
-        """Leave tenants in their cells; return those that have none yet."""
+        """Leaves tenants in their earlier cells; returns the tenants without one."""
         unplaced = []
         for tenant in self._tenants:
             number = self._before.get(tenant.name, -1)
@@ -209,13 +213,13 @@
                 unplaced.append(tenant)
         return unplaced
 
-    def _relieve(self, cell: Cell) -> list[Tenant]:
-        """Take tenants out of a cell until the rest fits, as few as possible."""
+    def _remove_excess_tenants(self, cell: Cell) -> list[Tenant]:
+        """Removes as few tenants as possible from a cell until the others fit; returns those removed."""
         removed = []
         capacity = self._capacities[cell.number]
         while cell.load > capacity + LOAD_TOLERANCE and len(cell.tenants) > 1:
             excess = cell.load - capacity
-            # The smallest that suffices alone, else the largest: the fewest tenants move.
+            # Removing the smallest tenant that suffices by itself, or else the largest, moves the fewest.
             sufficient = [tenant for tenant in cell.tenants if tenant.demand >= excess]
             chosen = sufficient[-1] if sufficient else cell.tenants[0]
             cell.remove_tenant(chosen)
@@ -223,17 +227,17 @@
         return removed
 
     def _assign_to_home_cells(self, tenants: list[Tenant]) -> list[Tenant]:
-        """Place new tenants in the cell of their hash while it is under its even part; return the others.
+        """Places new tenants in the cell that their hash selects, up to the mean utilization.
 
-        Proxies need no exception for a tenant that lives where its hash says.
+        Proxies need no routing exception for such a tenant. Returns the tenants that were not placed.
         """
         total_demand = sum(tenant.demand for tenant in self._tenants)
-        even_utilization = total_demand / max(sum(self._capacities), LOAD_TOLERANCE)
+        mean_utilization = total_demand / max(sum(self._capacities), LOAD_TOLERANCE)
         numbers = range(len(self._cells))
         others = []
         for tenant in tenants:
             cell = self._cells[home_cell(tenant.name, numbers, {})]
-            limit = even_utilization * self._capacities[cell.number]
+            limit = mean_utilization * self._capacities[cell.number]
             if tenant.name in self._before or cell.load + tenant.demand > limit:
                 others.append(tenant)
             else:
--- a/gradehoist/cells/rollout.py
+++ b/gradehoist/cells/rollout.py
@@ -1,11 +1,12 @@
-"""A rollout of a new version, staged cell by cell, that halts on a regression. Free of I/O.
-
-Each stage updates the replicas of one cell, a batch at a time, and then watches for the soak time. A
-regression is the cell's own change since before its stage, less the change of the other cells, so that a
-surge over all of them is not mistaken for a bad version; a fault of all cells holds the next stage until it
-is over.
-The record is persisted before a replica is touched, so a rollout that was killed goes on; a replica under way
-is updated again.
+"""A staged rollout of a new version, cell by cell, that halts on a regression. This module does no I/O.
+
+Each stage updates the replicas of one cell, a batch at a time, and then observes the cell for the soak time.
+A regression is the change of the cell's failure rate or latency since before its stage, less the change of
+the other cells in that time, so that a surge of traffic in all cells is not mistaken for a bad version. While
+the other cells fail more than before, the next stage does not begin.
+
+The record is persisted before a replica is updated, so that a rollout whose process was killed can be
+resumed. A replica whose update was interrupted is updated again.
 """
 
 from __future__ import annotations
@@ -16,18 +17,20 @@
 
 import msgspec
 
-# Failure rate that a cell may gain while one of its replicas is updated.
+# The increase of a cell's failure rate that is tolerated while one of its replicas is updated.
 FAILURE_RATE_MARGIN = 0.03
-# Standard errors beyond the margin: at most one of the tests' 400 days without a regression halts.
+# How many standard errors beyond the margin count as a regression. With this value, at most one of the 400
+# simulated days without a regression halts (`test_rollout`).
 SIGNIFICANT_STANDARD_ERRORS = 3.0
-# Requests below which no rate is worth comparing.
+# With fewer requests, rates are too inaccurate to be compared.
 MIN_REQUESTS = 40
-# Latency against before, beside the other cells; the warm-up of a replica alone does not reach it.
+# The increase of latency, relative to that of the other cells, above which a rollout halts. The warm-up of a
+# replica alone does not reach it.
 MAX_LATENCY_RATIO = 1.6
 
 
 class RolloutStep(Enum):
-    """The steps of a rollout; the values are in its record."""
+    """The steps of a rollout. The values are stored in its record."""
 
     UPDATE = "renew"
     SOAK = "soak"
@@ -37,13 +40,13 @@
 
 
 class TrafficCounts(msgspec.Struct, frozen=True):
-    """Counts of one cell.
+    """Counts of one cell's requests and attempts.
 
     Attributes:
-        requests: Requests received.
-        incomplete: Requests that were not completed.
-        successes: Attempts that succeeded.
-        elapsed_us: Time of the successful attempts together.
+        requests: The requests received.
+        incomplete: The requests that were not completed.
+        successes: The attempts that succeeded.
+        elapsed_us: The total time of the successful attempts.
     """
 
     requests: int = msgspec.field(default=0, name="came")
@@ -52,7 +55,7 @@
     elapsed_us: int = msgspec.field(default=0, name="elapsed")
 
     def since(self, earlier: TrafficCounts) -> TrafficCounts:
-        """What was counted since earlier totals."""
+        """Returns the difference to earlier counts."""
         return TrafficCounts(
             requests=self.requests - earlier.requests,
             incomplete=self.incomplete - earlier.incomplete,
@@ -61,7 +64,7 @@
         )
 
     def plus(self, other: TrafficCounts) -> TrafficCounts:
-        """The sum of two counts."""
+        """Returns the sum of both counts."""
         return TrafficCounts(
             requests=self.requests + other.requests,
             incomplete=self.incomplete + other.incomplete,
@@ -71,12 +74,12 @@
 
     @property
     def failure_rate(self) -> float:
-        """Share of the requests that were not completed."""
+        """The share of requests that were not completed."""
         return self.incomplete / self.requests if self.requests else 0.0
 
     @property
     def mean_latency_us(self) -> float:
-        """Mean time of a successful attempt."""
+        """The mean time of a successful attempt."""
         return self.elapsed_us / self.successes if self.successes else 0.0
 
 
@@ -87,19 +90,19 @@
     """The record of a rollout.
 
     Attributes:
-        id: Its number, which orders the records of a store.
+        id: Identifies the rollout; the records of a store are sorted by it.
         cells: The cells in the order of their stages.
-        replicas: By cell, the replicas in the order of their updates.
+        replicas: The replicas of each cell in the order of their updates.
         batch_size: How many replicas are updated at once.
         command: The operator's command that updates a replica.
-        rollback_command: The command that restores one, or "".
-        cell_index: The stage under way.
-        step: The step of that stage.
-        started_replicas: Replicas whose update was begun: what a halt restores.
-        updated_replicas: Replicas whose update is over.
-        halt_reason: Why it was halted, or "".
-        baseline: The counts by cell before the stage. They are persisted, as a rollout that was killed would
-            take those of an affected cell for the baseline.
+        rollback_command: The operator's command that rolls a replica back, or "".
+        cell_index: The index in `cells` of the current stage.
+        step: The step of the current stage, or how the rollout ended.
+        started_replicas: Replicas whose update was started; a halt rolls those of its cell back.
+        updated_replicas: Replicas whose update is complete.
+        halt_reason: Why the rollout was halted, or "".
+        baseline: The counts by cell from before the current stage. They are persisted because a resumed
+            rollout would otherwise measure its baseline in a cell that the new version already affects.
     """
 
     id: str
@@ -117,33 +120,33 @@
 
     @property
     def cell(self) -> str:
-        """The cell of the stage under way."""
+        """The cell of the current stage."""
         return self.cells[self.cell_index]
 
     def next_batch(self) -> tuple[str, ...]:
-        """The replicas to update now."""
+        """Returns the replicas to update next."""
         if self.step is not RolloutStep.UPDATE:
             return ()
         remaining = [name for name in self.replicas[self.cell] if name not in self.updated_replicas]
         return tuple(remaining[: self.batch_size])
 
     def with_baseline(self, baseline: CountsByCell) -> Rollout:
-        """The record at the beginning of a stage."""
+        """Returns the record with the counts from before the current stage."""
         return msgspec.structs.replace(self, baseline=dict(baseline))
 
     def with_batch_started(self, names: Iterable[str]) -> Rollout:
-        """The record before these replicas are touched."""
+        """Returns the record to be persisted before these replicas are updated."""
         return msgspec.structs.replace(self, started_replicas=self.started_replicas | frozenset(names))
 
     def with_batch_updated(self, names: Iterable[str]) -> Rollout:
-        """The record after these replicas are back; after the last one of the cell, it soaks."""
+        """Returns the record after these replicas are ready; after the cell's last batch, it soaks."""
         after = msgspec.structs.replace(self, updated_replicas=self.updated_replicas | frozenset(names))
         if after.next_batch():
             return after
         return msgspec.structs.replace(after, step=RolloutStep.SOAK)
 
     def with_stage_completed(self) -> Rollout:
-        """The record at the next stage, or done after the last one."""
+        """Returns the record at the beginning of the next stage, or done after the last stage."""
         if self.cell_index + 1 == len(self.cells):
             return msgspec.structs.replace(self, step=RolloutStep.DONE)
         return msgspec.structs.replace(
@@ -151,16 +154,16 @@
         )
 
     def with_rollback_started(self, reason: str) -> Rollout:
-        """The record of a halt whose touched replicas have yet to be restored."""
+        """Returns the record of a halted rollout whose replicas have not been rolled back yet."""
         return msgspec.structs.replace(self, step=RolloutStep.ROLL_BACK, halt_reason=reason)
 
     def with_rollback_completed(self) -> Rollout:
-        """The record of a halt for good."""
+        """Returns the record of a halted rollout after its replicas were rolled back."""
         return msgspec.structs.replace(self, step=RolloutStep.HALTED)
 
 
 def describe_regression(cell: str, baseline: CountsByCell, current: CountsByCell) -> str:
-    """The regression of a cell as shown to operators, or "" where none can be seen."""
+    """Describes a regression of a cell to operators; returns "" if there is none."""
     counts = current[cell]
     if counts.requests < MIN_REQUESTS:
         return ""
@@ -172,7 +175,7 @@
 
 
 def are_other_cells_stable(cell: str, baseline: CountsByCell, current: CountsByCell) -> bool:
-    """Whether the other cells fail no more than before, so that the next stage may begin."""
+    """Whether the other cells fail no more than before, which is required to begin the next stage."""
     return all(
         counts.requests < MIN_REQUESTS or _excess(baseline[name], counts) <= SIGNIFICANT_STANDARD_ERRORS
         for name, counts in current.items()
@@ -181,7 +184,7 @@
 
 
 def _excess(before: TrafficCounts, now: TrafficCounts) -> float:
-    """By how many standard errors the failure rate exceeds that of `before` and the margin."""
+    """Returns by how many standard errors the failure rate exceeds that of `before` plus the margin."""
     pooled = (before.incomplete + now.incomplete + 1) / (before.requests + now.requests + 2)
     variance = pooled * (1 - pooled) * (1 / max(1, before.requests) + 1 / max(1, now.requests))
     return (now.failure_rate - before.failure_rate - FAILURE_RATE_MARGIN) / sqrt(variance)
--- a/gradehoist/cells/routes.py
+++ b/gradehoist/cells/routes.py
@@ -1,4 +1,4 @@
-"""The cell in which a tenant lives: even ranges of a hash, with exceptions by name. Free of I/O."""
+"""Routes tenants to cells by equal ranges of a hash, with exceptions by name. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def home_cell(tenant: str, cells: Sequence[CellT], exceptions: Mapping[str, CellT]) -> CellT:
-    """The cell of a tenant: its exception, or the cell of the range that its hash falls into."""
+    """Returns the exception for a tenant, or else the cell of the range that the tenant's hash falls into."""
     named = exceptions.get(tenant)
     if named is not None:
         return named
@@ -20,5 +20,5 @@
 
 
 def class_label(cell: str, request_class: str) -> str:
-    """The name of a request class in the tables of a cell; without cells it is the class's own."""
+    """Returns the name of a request class in the tables of a cell; without cells, the class's own name."""
     return f"{cell}/{request_class}" if cell else request_class
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -130,8 +130,10 @@
 
     found = plan_placement([*tenants, Tenant("giant", 99.0)], replicas, THREE_CELLS)
 
-    assert any("tenant giant asks for 99" in x and "split it" in x for x in found.unmet_requirements)
-    assert any("carries" in x and "room for" in x for x in found.unmet_requirements)
+    assert any(
+        "tenant giant has a demand of 99" in x and "split the tenant" in x for x in found.unmet_requirements
+    )
+    assert any("load" in x and "exceeds capacity" in x for x in found.unmet_requirements)
 
 
 def test_cells_that_lack_a_zone_are_named() -> None:
@@ -140,7 +142,7 @@
 
     found = plan_placement(tenants, one_zone, THREE_CELLS)
 
-    assert len([x for x in found.unmet_requirements if "in 1 zones; 2 in 2 are wanted" in x]) == 3
+    assert len([x for x in found.unmet_requirements if "in 1 zones but needs 2 in 2" in x]) == 3
 
 
 def test_a_tenant_that_would_fill_most_of_any_cell_is_named() -> None:
@@ -172,7 +174,7 @@
     more = [Tenant(tenant.name, tenant.demand * 1.3) for tenant in tenants]
     unmet = plan_placement(more, replicas, surviving).unmet_requirements
     assert unmet
-    assert all("room for" in x for x in unmet)
+    assert all("exceeds capacity" in x for x in unmet)
 
 
 class PlacementCommand:
@@ -221,7 +223,7 @@
     found = command.place("--cells", "3", "--least-workers", "5")
 
     assert found.exit_code == 1
-    assert "5 in 1 are wanted" in found.output
+    assert "needs 5 in 1" in found.output
 
 
 def test_unusable_input_ends_the_command_with_2_and_leaves_the_placement(command: PlacementCommand) -> None:
