--- a/gradehoist/migration/__init__.py
+++ b/gradehoist/migration/__init__.py
@@ -1,1 +1,1 @@
-"""Runners that carry migrations and rollouts through over HTTP and persist each record first."""
+"""Carries out migrations and rollouts over HTTP; each step is persisted before its first message is sent."""
--- a/gradehoist/migration/errors.py
+++ b/gradehoist/migration/errors.py
@@ -1,4 +1,4 @@
-"""Errors of this package; their texts are for operators."""
+"""Errors of this package. Their messages are shown to operators."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 class MigrationError(ValueError):
-    """Base of all errors of this package."""
+    """The base of all errors of this package."""
 
 
 class InvalidRecordError(MigrationError):
-    """A file of the record store that can't be read as what its name says."""
+    """A file of the record store does not hold a record of the kind that its name says."""
 
     def __init__(self, path: Path, problem: str) -> None:
-        """Say which file it is and what is wrong with it."""
-        super().__init__(f"{path}: {problem}; put back a copy or remove it")
+        """Creates an error about the file at `path`; `problem` says what is wrong with it."""
+        super().__init__(f"{path}: {problem}; restore a copy or remove it")
         self.path = path
 
 
 class MigrationRejectedError(MigrationError):
-    """A migration that was not created: its cell or tenant does not allow it now."""
+    """A migration was not created, because its cell or tenant does not allow it now."""
 
 
 class RolloutHaltError(MigrationError):
-    """A rollout that may not go on; `reason` is kept in its record."""
+    """A rollout has to halt. Its `reason` is stored in the record of the rollout."""
 
     def __init__(self, reason: str) -> None:
-        """Keep why the rollout halts."""
+        """Creates an error with the reason of the halt."""
         super().__init__(reason)
         self.reason = reason
--- a/gradehoist/migration/planning.py
+++ b/gradehoist/migration/planning.py
@@ -1,4 +1,4 @@
-"""Creation of migrations: where tenants live now, where they may go, and the records that order it."""
+"""Creates migrations: checks where tenants are and where they may go, and persists the records."""
 
 from __future__ import annotations
 
@@ -14,13 +14,19 @@
 
 
 def pending_migrations(migrations: list[Migration]) -> list[Migration]:
-    """The migrations to carry on; one that is undone gave way to its undo, and its record ends as it was."""
+    """Returns the migrations to carry out.
+
+    An undone migration is not pending: its undo takes its place, and its record remains in its last step.
+    """
     undone = {m.id.removesuffix(UNDO_SUFFIX) for m in migrations if m.is_undo}
     return [m for m in migrations if m.step is not MigrationStep.DONE and m.id not in undone]
 
 
 def locate_tenants(migrations: list[Migration], placement: CellPlacement) -> dict[str, str]:
-    """The cell of each tenant that the placement names or that was migrated, or is on its way."""
+    """Returns the cell of each tenant that the placement names or that has a migration.
+
+    For a pending migration it is the target.
+    """
     cells = dict(placement.cell_by_tenant)
     for migration in sorted(migrations, key=lambda m: m.generation):
         cells[migration.tenant] = migration.target
@@ -30,22 +36,22 @@
 def plan_cell_drain(
     cell: str, migrations: list[Migration], placement: CellPlacement, draining: tuple[str, ...]
 ) -> dict[str, str]:
-    """A new cell for each tenant of a cell: the one with fewest tenants for its replicas.
+    """Returns a target cell for each tenant of a cell: each time the one with the fewest tenants per replica.
 
     Raises:
         MigrationRejectedError: No other cell takes tenants.
     """
     others = [name for name in placement.cells if name != cell and name not in draining]
     if not others:
-        raise MigrationRejectedError(f"no other cell takes the tenants of {cell}; end the draining of one")
+        raise MigrationRejectedError(f"no other cell takes tenants of {cell}; end the drain of another cell")
     current = locate_tenants(migrations, placement)
     tenant_counts = {name: sum(home == name for home in current.values()) for name in others}
-    load = {name: tenant_counts[name] / len(placement.replicas_of(name)) for name in others}
+    tenants_per_replica = {name: tenant_counts[name] / len(placement.replicas_of(name)) for name in others}
     leaving = [tenant for tenant, home in current.items() if home == cell]
     targets = dict[str, str]()
     for tenant in sorted(leaving, key=lambda name: (stable_hash(name), name)):
-        target = min(others, key=lambda name: (load[name], name))
-        load[target] += 1 / len(placement.replicas_of(target))
+        target = min(others, key=lambda name: (tenants_per_replica[name], name))
+        tenants_per_replica[target] += 1 / len(placement.replicas_of(target))
         targets[tenant] = target
     return targets
 
@@ -53,11 +59,11 @@
 def create_migrations(
     folder: Path, settings: Settings, target_by_tenant: Mapping[str, str]
 ) -> list[Migration]:
-    """Create and persist a migration for each tenant.
+    """Creates and persists a migration for each tenant.
 
     Raises:
-        MigrationRejectedError: One of them is not possible, and then none is created.
-        InvalidRecordError: A file of the record store can't be read.
+        MigrationRejectedError: One of the migrations is not possible. None is created then.
+        InvalidRecordError: A file of the record store can't be decoded.
     """
     placement = settings.fleet.placement
     assert placement is not None
@@ -73,17 +79,17 @@
 
 
 def undo_migration(folder: Path, migration_id: str) -> Migration:
-    """Create the undo of a migration, or return the one that exists.
+    """Creates and persists the undo of a migration, or returns the undo that exists already.
 
     Raises:
         MigrationRejectedError: There is no such migration.
-        MigrationStateError: It can't be undone in its present step.
-        InvalidRecordError: A file of the record store can't be read.
+        MigrationStateError: The migration can't be undone in its current step.
+        InvalidRecordError: A file of the record store can't be decoded.
     """
     known = {migration.id: migration for migration in load_migrations(folder)}
     if migration_id not in known:
         raise MigrationRejectedError(
-            f"no move {migration_id}; known are {', '.join(sorted(known)) or 'none'}"
+            f"no move {migration_id}; known moves: {', '.join(sorted(known)) or 'none'}"
         )
     undo = known[migration_id].undo()
     if undo.id in known:
@@ -112,11 +118,11 @@
     number: int, tenant: str, target: str, latest: Migration | None, placement: CellPlacement
 ) -> Migration:
     if latest is not None and latest.step is not MigrationStep.DONE:
-        raise MigrationRejectedError(f"tenant {tenant} is on its way by move {latest.id}; undo that first")
+        raise MigrationRejectedError(f"tenant {tenant} has the pending move {latest.id}; undo that first")
     source = placement.home_cell(tenant) if latest is None else latest.target
     generation = 1 + (FIRST_GENERATION if latest is None else latest.generation)
     if source == target:
-        raise MigrationRejectedError(f"tenant {tenant} lives in {target}")
+        raise MigrationRejectedError(f"tenant {tenant} is already in cell {target}")
     return Migration(
         id=f"{number:06d}-{generation}", tenant=tenant, source=source, target=target, generation=generation
     )
--- a/gradehoist/migration/queries.py
+++ b/gradehoist/migration/queries.py
@@ -1,4 +1,7 @@
-"""Queries of governors and of the endpoint list; None stands for a missing or unusable answer."""
+"""HTTP queries to governors and to the endpoint list.
+
+The functions return None if there is no response or an unusable one.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +12,15 @@
 from gradehoist.net.client import ConnectError, ConnectionLostError, HttpClient, ResponseTimeoutError
 from gradehoist.protocol import feed
 
-# Errors of one exchange that mean that no usable answer came.
+# Errors of an HTTP exchange that mean that there is no usable response.
 QUERY_ERRORS = (ConnectError, ConnectionLostError, ResponseTimeoutError, msgspec.MsgspecError)
 
 QUERY_TIMEOUT_S = 2.0
-CONNECT_TIMEOUT_S = 0.5  # within a site a connection takes milliseconds
+CONNECT_TIMEOUT_S = 0.5  # within a site, a connection is established in milliseconds
 
 
 async def fetch_governor_status(client: HttpClient) -> dict[str, Any] | None:
-    """A governor's status; its `cells` are those of `gradehoist.governor.cell_stats`."""
+    """Returns a governor's status. `gradehoist.governor.cell_stats` describes its field `cells`."""
     try:
         response = await client.request("GET", "/v1/status", timeout_s=QUERY_TIMEOUT_S)
         status: dict[str, Any] = msgspec.json.decode(response.body, type=dict[str, Any])
@@ -27,12 +30,12 @@
 
 
 async def fetch_endpoints(client: HttpClient, zone: str) -> tuple[feed.EndpointRecord, ...] | None:
-    """A complete snapshot of the endpoint list, with addresses as `zone` reaches them."""
+    """Returns a complete snapshot of the endpoint list, with the addresses that `zone` uses."""
     try:
         response = await client.request(
             "GET", f"/v1/roster?zone={zone}&after=-1&reader=", timeout_s=QUERY_TIMEOUT_S
         )
-        found: feed.EndpointListUpdate = msgspec.json.decode(response.body, type=feed.EndpointListUpdate)
+        update: feed.EndpointListUpdate = msgspec.json.decode(response.body, type=feed.EndpointListUpdate)
     except QUERY_ERRORS:
         return None
-    return found.endpoints
+    return update.endpoints
--- a/gradehoist/migration/rollout.py
+++ b/gradehoist/migration/rollout.py
@@ -1,5 +1,7 @@
-"""Runs a staged rollout: the operator's command for each replica, the endpoint list for its return, the
-governors' counts for regressions. It may be killed at any point: a new run goes on from its record.
+"""Runs a staged rollout.
+
+The operator's command updates each replica, the endpoint list shows when the replica is ready again, and the
+governors' counts show regressions. The process may be killed at any point: a new run resumes from the record.
 """
 
 from __future__ import annotations
@@ -26,12 +28,12 @@
 from gradehoist.settings.fleet import Settings
 
 COMMAND_NOT_FOUND = 127  # the exit code of shells for a command that does not exist
-POLL_INTERVAL_S = 0.5  # between looks at the counts and at the endpoint list
-RETENTION_SOAKS = 4  # soak times for which counts are kept
+POLL_INTERVAL_S = 0.5  # between polls of the governors' counts and of the endpoint list
+RETENTION_SOAKS = 4  # the number of soak times for which counts are kept
 
 
 class RolloutRunner:
-    """Runs one rollout; owned by the command that started it, which holds the lock of the record store."""
+    """Runs one rollout. The command that creates the runner holds the lock of the record store."""
 
     def __init__(
         self,
@@ -41,14 +43,14 @@
         return_timeout_s: float,
         on_change: Callable[[Rollout, str], None],
     ) -> None:
-        """Create a runner.
+        """Creates a runner.
 
         Args:
             settings: The fleet with its placement.
             folder: The record store.
-            soak_s: How long a cell is watched after its stage.
+            soak_s: How long a cell is observed after its replicas were updated.
             return_timeout_s: How long an updated replica may take until it is ready again.
-            on_change: Called with the record and a text for operators at each change.
+            on_change: Called at each change with the record and a message for operators.
         """
         assert settings.fleet.placement is not None
         self._zone = settings.governors[0].zone
@@ -64,10 +66,13 @@
         self._endpoint_list = HttpClient(
             *settings.fleet.endpoint_list_address, connect_timeout_s=CONNECT_TIMEOUT_S
         )
-        self._stage_totals: CountsByCell = {}  # the counts when the stage began
+        self._stage_totals: CountsByCell = {}  # the total counts at the beginning of the stage
 
     async def run(self, rollout: Rollout) -> Rollout:
-        """Run it to its end, or to a halt that restores what was touched if a command for that is given."""
+        """Runs a rollout until it is done or halted.
+
+        A halt rolls back the current cell's replicas, if the rollout has a command for that.
+        """
         try:
             if rollout.step is not RolloutStep.ROLL_BACK:
                 await self._observe_baseline()
@@ -81,7 +86,7 @@
             self._endpoint_list.close()
 
     async def _run_stage(self, rollout: Rollout) -> Rollout:
-        """Update and watch one cell; the record of a halt where it fails."""
+        """Updates and observes one cell; returns the record of a halt if that fails."""
         if not rollout.baseline:
             rollout = rollout.with_baseline(self._monitor.recent(self._soak_s))
         self._stage_totals = dict(self._monitor.totals)
@@ -92,21 +97,21 @@
             except RolloutHaltError as halt:
                 return self._halt(rollout, halt)
             rollout = self._record(
-                rollout.with_batch_started(batch), f"{rollout.cell}: renews {', '.join(batch)}"
+                rollout.with_batch_started(batch), f"{rollout.cell}: updating {', '.join(batch)}"
             )
             try:
                 await self._update_batch(rollout, batch, incarnations)
             except RolloutHaltError as halt:
                 return self._halt(rollout, halt)
             rollout = self._record(
-                rollout.with_batch_updated(batch), f"{rollout.cell}: {', '.join(batch)} renewed"
+                rollout.with_batch_updated(batch), f"{rollout.cell}: {', '.join(batch)} updated"
             )
         try:
             await self._watch(rollout, self._soak_s)
             await self._await_stability(rollout)
         except RolloutHaltError as halt:
             return self._halt(rollout, halt)
-        return self._record(rollout.with_stage_completed(), f"{rollout.cell}: no harm seen")
+        return self._record(rollout.with_stage_completed(), f"{rollout.cell}: no regression seen")
 
     async def _update_batch(
         self, rollout: Rollout, batch: tuple[str, ...], incarnations: dict[str, str]
@@ -114,22 +119,22 @@
         for replica in batch:
             code = await self._run_command(rollout.command, replica, rollout.cell)
             if code:
-                raise RolloutHaltError(f"the command for {replica} ended with {code}")
+                raise RolloutHaltError(f"the command for {replica} exited with code {code}")
         await self._await_return(rollout, batch, incarnations)
-        # Load reports come late: without a watch after each batch a whole cell was updated before a
-        # regression showed.
+        # Load reports arrive late: without this pause after each batch, a whole cell was updated before a
+        # regression was visible.
         await self._watch(rollout, self._soak_s / 2)
 
     async def _await_stability(self, rollout: Rollout) -> None:
-        """Hold the next stage while the other cells can't be judged or fail."""
+        """Waits until every governor answers and the other cells fail no more than before."""
         while reason := self._hold_reason(rollout):
             self._on_change(rollout, f"{reason}: waits")
             await self._watch(rollout, self._soak_s)
 
     def _hold_reason(self, rollout: Rollout) -> str:
-        """Why the next cell may not be begun yet, though no regression was seen in this one; "" if it may."""
+        """Returns why the next stage may not begin yet, although this one shows no regression, or ""."""
         if self._monitor.last_complete_s < time.monotonic() - self._soak_s:
-            return "a governor does not answer, so nobody can say"
+            return "a governor does not answer, so its requests are not counted"
         if not are_other_cells_stable(rollout.cell, rollout.baseline, self._monitor.recent(self._soak_s)):
             return "other cells fail more than before"
         return ""
@@ -141,7 +146,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _watch(self, rollout: Rollout, seconds: float) -> None:
-        """Watch the cell for so long. Raises RolloutHaltError as soon as a regression shows."""
+        """Observes the cell for a time. Raises RolloutHaltError as soon as there is a regression."""
         end_s = time.monotonic() + seconds
         while time.monotonic() < end_s:
             await self._monitor.refresh()
@@ -149,7 +154,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _check_regression(self, rollout: Rollout) -> None:
-        """Judge the whole stage, and the last soak time alone."""
+        """Checks the counts of the whole stage, and those of the last soak time by themselves."""
         for current in (self._monitor.since(self._stage_totals), self._monitor.recent(self._soak_s)):
             regression = describe_regression(rollout.cell, rollout.baseline, current)
             if regression:
@@ -158,7 +163,7 @@
     async def _await_return(
         self, rollout: Rollout, batch: tuple[str, ...], incarnations: dict[str, str]
     ) -> None:
-        """Wait until the endpoint list has each replica as ready in a new incarnation."""
+        """Waits until the endpoint list shows each replica as ready in a new incarnation."""
         end_s = time.monotonic() + self._return_timeout_s
         while True:
             await self._watch(rollout, POLL_INTERVAL_S)
@@ -171,55 +176,59 @@
                 raise RolloutHaltError(f"{names} did not come back within {self._return_timeout_s:g} s")
 
     async def _incarnations_before_update(self) -> dict[str, str]:
-        """The ready incarnations before a batch.
+        """Returns the ready incarnations before a batch is updated.
 
-        Without them, a replica still in its old incarnation passed for one that is back, and the next was
-        taken down beside it. So an endpoint list that does not answer halts the rollout in time.
+        Without them, a replica still in its old incarnation was taken for one that is back, and the next was
+        taken down at the same time. If the endpoint list does not answer in time, the rollout halts
+        therefore.
         """
         end_s = time.monotonic() + self._return_timeout_s
         while True:
-            found = await self._ready_incarnations()
-            if found is not None:
-                return found
+            incarnations = await self._ready_incarnations()
+            if incarnations is not None:
+                return incarnations
             if time.monotonic() >= end_s:
                 raise RolloutHaltError(f"the roster did not answer within {self._return_timeout_s:g} s")
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _ready_incarnations(self) -> dict[str, str] | None:
-        """By replica that is listed as ready, its incarnation; None where no answer came."""
+        """Returns the incarnations of the replicas listed as ready, or None if the list does not answer."""
         endpoints = await fetch_endpoints(self._endpoint_list, self._zone)
         if endpoints is None:
             return None
         return {endpoint.replica: endpoint.incarnation for endpoint in endpoints if endpoint.phase == "ready"}
 
     async def _run_command(self, command: str, replica: str, cell: str) -> int:
-        """Run an operator's command for a replica and return its exit code."""
+        """Runs an operator's command for a replica and returns its exit code."""
         words = [word.replace("{worker}", replica).replace("{cell}", cell) for word in shlex.split(command)]
         try:
             process = await asyncio.create_subprocess_exec(*words)
-        except OSError as fault:
-            print(f"{words[0]}: {fault.strerror or fault}", file=sys.stderr, flush=True)
+        except OSError as error:
+            print(f"{words[0]}: {error.strerror or error}", file=sys.stderr, flush=True)
             return COMMAND_NOT_FOUND
         return await process.wait()
 
     async def _roll_back(self, rollout: Rollout) -> Rollout:
-        """Restore the touched replicas of the cell; after a kill it begins with the first again."""
+        """Rolls back the replicas of the cell whose update was started.
+
+        A resumed rollout rolls all of them back again.
+        """
         for replica in rollout.replicas[rollout.cell]:
             if rollout.rollback_command and replica in rollout.started_replicas:
-                await self._restore(rollout, replica)
-        return self._record(rollout.with_rollback_completed(), "halted for good")
+                await self._roll_back_replica(rollout, replica)
+        return self._record(rollout.with_rollback_completed(), "ended")
 
-    async def _restore(self, rollout: Rollout, replica: str) -> None:
-        self._on_change(rollout, f"{rollout.cell}: puts {replica} back")
+    async def _roll_back_replica(self, rollout: Rollout, replica: str) -> None:
+        self._on_change(rollout, f"{rollout.cell}: rolling back {replica}")
         code = await self._run_command(rollout.rollback_command, replica, rollout.cell)
         if code:
-            self._on_change(rollout, f"{replica} was not put back: the command ended with {code}")
+            self._on_change(rollout, f"{replica} was not put back: the command exited with code {code}")
 
     def _halt(self, rollout: Rollout, halt: RolloutHaltError) -> Rollout:
         return self._record(rollout.with_rollback_started(halt.reason), f"halted: {halt.reason}")
 
     def _record(self, rollout: Rollout, text: str) -> Rollout:
-        """Persist the record, and tell operators what changed."""
+        """Persists the record and reports the change to operators."""
         save_rollout(self._folder, rollout)
         self._on_change(rollout, text)
         return rollout
--- a/gradehoist/migration/runner.py
+++ b/gradehoist/migration/runner.py
@@ -1,6 +1,6 @@
-"""Carries migrations through to their end.
+"""Runs migrations until they are done.
 
-It may be killed at any point: a new run goes on from its records.
+The process may be killed at any point: a new run resumes from the records.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from gradehoist.settings.fleet import Settings
 from gradehoist.settings.reader import parse_address
 
-# Between attempts that were not confirmed, doubled each time up to the maximum: without it a dead replica
-# was asked three times a second to the end of its migration.
+# The delay before a notification is repeated. It doubles after each round without progress: without that, a
+# failed replica was notified three times a second until the end of its migration.
 MIN_RETRY_DELAY_S = 0.3
 MAX_RETRY_DELAY_S = 5.0
-# Migrations under way together: each is a message to every proxy.
+# The migrations that run at the same time. Each of them sends a message to every proxy.
 MAX_CONCURRENT_MIGRATIONS = 8
 NOTIFY_TIMEOUT_S = 1.0
 ENDPOINT_LIST_INTERVAL_S = 1.0
-# Added to the wait for a point in time, so that it has passed for certain.
+# Added to the delay until a point in time, so that the timer never fires before it.
 TIMER_MARGIN_S = 0.01
 
 GOVERNOR_PATH = "/v1/cells/word"
@@ -36,20 +36,20 @@
 
 
 def monotonic_us() -> int:
-    """This machine's monotonic clock."""
+    """Returns the time of the machine's monotonic clock."""
     return time.monotonic_ns() // 1_000
 
 
 class MigrationRunner:
-    """Runs migrations; owned by the command that started it, which holds the lock of the record store."""
+    """Runs migrations. The command that creates the runner holds the lock of the record store."""
 
     def __init__(self, settings: Settings, folder: Path, on_change: Callable[[Migration, str], None]) -> None:
-        """Create a runner.
+        """Creates a runner.
 
         Args:
             settings: The fleet with its placement.
             folder: The record store.
-            on_change: Called with a migration and what it waits for, whenever that changes.
+            on_change: Called with a migration and a description of what it waits for, whenever that changes.
         """
         placement = settings.fleet.placement
         assert placement is not None
@@ -61,7 +61,7 @@
             cell: tuple(sorted(placement.replicas_of(cell))) for cell in placement.cells
         }
         self._fencing_wait_us = placement.lease_us + placement.settle_us
-        # By the name of a governor or the address of a replica.
+        # The key is the name of a governor or the address of a replica.
         self._clients = {
             governor.name: HttpClient(*governor.listen_address, connect_timeout_s=CONNECT_TIMEOUT_S)
             for governor in settings.governors
@@ -70,13 +70,13 @@
         self._slots = asyncio.Semaphore(MAX_CONCURRENT_MIGRATIONS)
 
     async def run(self, migrations: list[Migration]) -> list[Migration]:
-        """Carry all of them to their end or a conflict; one undone meanwhile gives way to its undo."""
-        following = asyncio.ensure_future(self._follow_endpoint_list())
+        """Runs migrations until each is done, has a conflict, or was undone by another process."""
+        poll_task = asyncio.ensure_future(self._poll_endpoint_list())
         try:
             return list(await asyncio.gather(*(self._run_in_slot(m) for m in migrations)))
         finally:
-            following.cancel()
-            await asyncio.gather(following, return_exceptions=True)
+            poll_task.cancel()
+            await asyncio.gather(poll_task, return_exceptions=True)
             for client in self._clients.values():
                 client.close()
 
@@ -107,24 +107,25 @@
         return migration
 
     async def _run_round(self, migration: Migration) -> Migration:
-        """Notify all that have yet to confirm, and take what their answers allow."""
+        """Notifies all recipients that have not confirmed yet; returns the migration after their answers."""
         recipients = migration.pending_recipients(self._governors, self._replicas_by_cell)
-        answers = await asyncio.gather(*(self._notify(name, migration) for name in recipients))
+        acks = await asyncio.gather(*(self._notify(name, migration) for name in recipients))
         after = migration
-        for ack in answers:
+        for ack in acks:
             if ack is not None:
                 after = after.with_acknowledgement(monotonic_us(), ack, self._governors)
         after = after.advance(monotonic_us(), self._governors, self._replicas_by_cell, self._fencing_wait_us)
-        # The time of the last confirmation is not used after a restart and needs no writing.
+        # The time of the last confirmation is not used after a restart and need not be persisted.
         if after.restarted() != migration.restarted():
-            save_migration(self._folder, after)  # before anything of a new step is sent
+            # The record has to be persisted before any message of a new step is sent.
+            save_migration(self._folder, after)
         return after
 
     def _is_undone(self, migration: Migration) -> bool:
         return not migration.is_undo and migration_path(self._folder, migration.id + UNDO_SUFFIX).exists()
 
     def _fencing_delay_s(self, migration: Migration) -> float:
-        """Time until lease and settle time are over, where only they are still waited for."""
+        """Returns the time until lease and settle time have passed, if all governors have confirmed."""
         if migration.governors_confirmed_us < 0:
             return MAX_RETRY_DELAY_S + TIMER_MARGIN_S
         end_us = migration.governors_confirmed_us + self._fencing_wait_us
@@ -132,7 +133,7 @@
         return remaining_s + TIMER_MARGIN_S if remaining_s > 0 else MIN_RETRY_DELAY_S
 
     async def _notify(self, recipient: str, migration: Migration) -> AssignmentAck | None:
-        """Send the assignment to a governor or replica; None where no usable answer came."""
+        """Sends the assignment to a governor or replica; returns None if there is no usable response."""
         is_governor = recipient in self._governors
         try:
             client = self._governor_client(recipient) if is_governor else self._replica_client(recipient)
@@ -156,25 +157,27 @@
         return self._clients[name]
 
     def _replica_client(self, name: str) -> HttpClient:
-        """The connection to a replica's present address. Raises ValueError for an address that is none.
+        """Returns a client of a replica's current address. Raises ValueError if that is not a valid address.
 
-        Kept by address and not by name: a replica that came back elsewhere was otherwise asked where it had
-        been, to the end of the migration.
+        Clients are stored by address, not by name: otherwise, a replica that returned at another address was
+        notified at its old one until the end of the migration.
         """
         address = self._replica_addresses.get(name, "")
         if address not in self._clients:
             self._clients[address] = HttpClient(*parse_address(address), connect_timeout_s=CONNECT_TIMEOUT_S)
         return self._clients[address]
 
-    async def _follow_endpoint_list(self) -> None:
-        """Keep the addresses of replicas; the last list stands while the endpoint list does not answer."""
+    async def _poll_endpoint_list(self) -> None:
+        """Updates the addresses of replicas; the last ones hold while the endpoint list does not answer."""
         client = HttpClient(*self._settings.fleet.endpoint_list_address)
         zone = self._settings.governors[0].zone
         try:
             while True:
                 endpoints = await fetch_endpoints(client, zone)
                 if endpoints is not None:
-                    self._replica_addresses = {e.replica: e.address or e.replica for e in endpoints}
+                    self._replica_addresses = {
+                        endpoint.replica: endpoint.address or endpoint.replica for endpoint in endpoints
+                    }
                 await asyncio.sleep(ENDPOINT_LIST_INTERVAL_S)
         finally:
             client.close()
--- a/gradehoist/migration/traffic_monitor.py
+++ b/gradehoist/migration/traffic_monitor.py
@@ -1,4 +1,4 @@
-"""Traffic counts of all governors together, and what they were over the last seconds."""
+"""Adds up the traffic counts of all governors, and keeps their recent history."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class _GovernorCounts:
-    """The last counts of one governor; its epoch is new with each start."""
+    """The last counts of one governor. The epoch changes each time the governor starts."""
 
     epoch: str
     counts: CountsByCell
@@ -25,25 +25,27 @@
 
 @dataclass(frozen=True)
 class _TimedTotals:
-    taken_s: float
+    """Total counts at a point in time."""
+
+    time_s: float
     totals: CountsByCell
 
 
 class TrafficMonitor:
-    """Adds up the counts of all governors since the first look at each.
+    """Adds up the counts of all governors since the first poll of each.
 
-    A governor that starts anew counts from zero, and the totals go on from there. The owner calls `refresh`
-    at intervals, and `close` at the end.
+    A governor that restarts counts from zero; the totals continue to grow from their last value. The owner
+    calls `refresh` at intervals, and `close` at the end.
 
     Attributes:
-        totals: The counts by cell.
-        last_complete_s: When all governors last answered, by the monotonic clock.
+        totals: The total counts by cell.
+        last_complete_s: The time, on the monotonic clock, at which all governors last answered.
     """
 
     def __init__(
         self, governors: Iterable[GovernorSettings], cells: tuple[str, ...], retention_s: float
     ) -> None:
-        """Begin with counts of zero; earlier totals are kept for `retention_s`."""
+        """Starts with counts of zero; the history covers `retention_s` seconds."""
         self.totals = {cell: TrafficCounts() for cell in cells}
         self.last_complete_s = 0.0
         self._retention_s = retention_s
@@ -55,39 +57,39 @@
         self._history = deque[_TimedTotals]()
 
     async def refresh(self) -> None:
-        """Bring the totals up to now; proxies of a governor that does not answer are not seen."""
+        """Adds the latest counts to the totals; those of a governor that does not answer are missing."""
         is_complete = all(await asyncio.gather(*(self._refresh_governor(name) for name in self._clients)))
         now_s = time.monotonic()
         if is_complete:
             self.last_complete_s = now_s
         self._history.append(_TimedTotals(now_s, dict(self.totals)))
-        while self._history[0].taken_s < now_s - self._retention_s:
+        while self._history[0].time_s < now_s - self._retention_s:
             self._history.popleft()
 
     def recent(self, seconds: float) -> dict[str, TrafficCounts]:
-        """What was counted within the last seconds."""
+        """Returns the counts of the last `seconds`."""
         begin_s = time.monotonic() - seconds
-        earlier = next((past.totals for past in self._history if past.taken_s >= begin_s), self.totals)
+        earlier = next((past.totals for past in self._history if past.time_s >= begin_s), self.totals)
         return self.since(earlier)
 
     def since(self, earlier: CountsByCell) -> dict[str, TrafficCounts]:
-        """What was counted since earlier totals."""
+        """Returns the counts since earlier totals."""
         return {cell: counts.since(earlier[cell]) for cell, counts in self.totals.items()}
 
     def close(self) -> None:
-        """Close all connections."""
+        """Closes all connections."""
         for client in self._clients.values():
             client.close()
 
     async def _refresh_governor(self, name: str) -> bool:
-        """Add what a governor counted since the last look; False where it does not answer."""
+        """Adds a governor's counts since the last poll; returns False if it does not answer."""
         status = await fetch_governor_status(self._clients[name])
         if status is None:
             return False
         current = _GovernorCounts(epoch=status["epoch"], counts=_parse_counts(status["cells"]))
         last = self._last.get(name)
         if last is None:
-            earlier = current.counts  # what it counted before the first look is not ours
+            earlier = current.counts  # counts from before the first poll are not part of the totals
         elif last.epoch and last.epoch != current.epoch:
             earlier = {}
         else:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -133,14 +133,14 @@
     site = RolloutSite(tmp_path)
 
     def was_held() -> bool:
-        return any("nobody can say" in message for message in site.messages)
+        return any("a governor does not answer" in message for message in site.messages)
 
     site.is_governor_silent = lambda: "a2" in site.updated() and not was_held()
 
     assert site.run(site.rollout()).step is RolloutStep.DONE
 
-    held = next(n for n, message in enumerate(site.messages) if "nobody can say" in message)
-    next_cell = next(n for n, message in enumerate(site.messages) if "B: renews b1" in message)
+    held = next(n for n, message in enumerate(site.messages) if "a governor does not answer" in message)
+    next_cell = next(n for n, message in enumerate(site.messages) if "B: updating b1" in message)
     assert held < next_cell
 
 
@@ -160,7 +160,7 @@
     site = RolloutSite(tmp_path, returns=False)
     rollout = Rollout(id="000002", cells=("A",), replicas=REPLICAS_BY_CELL, batch_size=1, command=command)
 
-    assert site.run(rollout).halt_reason == f"the command for a1 ended with {code}"
+    assert site.run(rollout).halt_reason == f"the command for a1 exited with code {code}"
 
 
 def test_killed_after_any_record_it_goes_on_where_it_was(
