--- a/tests/test_actors.py
+++ b/tests/test_actors.py
@@ -20,7 +20,7 @@
 
 
 class Recorder(Actor):
-    """Notes what it gets in a log that all share, and answers each ping with a pong."""
+    """Records the messages that it gets in a shared log, and answers each ping with a pong."""
 
     def __init__(self, loop: MessageLoop, name: str, log: list[tuple[str, object]]) -> None:
         super().__init__(loop)
@@ -35,7 +35,7 @@
         self.log.append((self.name, pong))
 
 
-class Private(Recorder):
+class UnsubscribedRecorder(Recorder):
     receives_published = False
 
 
@@ -49,7 +49,7 @@
     return []
 
 
-def test_messages_are_delivered_in_the_order_they_were_sent(
+def test_messages_are_delivered_in_the_order_of_sending(
     loop: MessageLoop, log: list[tuple[str, object]]
 ) -> None:
     first, second = Recorder(loop, "first", log), Recorder(loop, "second", log)
@@ -59,14 +59,14 @@
     assert log == [("second", Ping(1)), ("first", Ping(2)), ("second", Pong(1)), ("first", Pong(2))]
 
 
-def test_a_published_message_goes_to_all_singletons_that_handle_its_type(
+def test_a_published_message_is_delivered_to_all_subscribers_that_handle_its_type(
     loop: MessageLoop, log: list[tuple[str, object]]
 ) -> None:
     Recorder(loop, "first", log)
-    Private(loop, "private", log)
+    UnsubscribedRecorder(loop, "unsubscribed", log)
     Recorder(loop, "second", log)
     loop.publish(Pong(1))
-    loop.publish("nobody handles text")
+    loop.publish("no actor handles text")
     loop.run()
     assert log == [("first", Pong(1)), ("second", Pong(1))]
 
@@ -79,7 +79,7 @@
         loop.run()
 
 
-def test_timers_fire_when_due_by_time_then_by_the_order_of_scheduling(
+def test_scheduled_messages_are_delivered_by_time_then_in_the_order_of_scheduling(
     loop: MessageLoop, log: list[tuple[str, object]]
 ) -> None:
     actor = Recorder(loop, "actor", log)
@@ -96,7 +96,7 @@
     assert log[-1] == ("actor", Pong(1))
 
 
-def test_a_deferred_message_comes_once_and_behind_the_replies_to_what_is_queued(
+def test_a_deferred_message_is_delivered_once_after_the_replies_to_queued_messages(
     loop: MessageLoop, log: list[tuple[str, object]]
 ) -> None:
     actor = Recorder(loop, "actor", log)
@@ -107,10 +107,10 @@
     assert log == [("actor", Ping(1)), ("actor", Pong(1)), ("actor", Pong(9))]
     actor.defer_once(Pong(9))
     loop.run()
-    assert log[3:] == [("actor", Pong(9))], "once delivered it may be deferred again"
+    assert log[3:] == [("actor", Pong(9))], "after its delivery, a message may be deferred again"
 
 
-def test_random_numbers_follow_from_the_seed() -> None:
+def test_random_numbers_are_determined_by_the_seed() -> None:
     loops = [MessageLoop(seed, now_us=0) for seed in (7, 7, 8)]
     samples = [[loop.random() for _ in range(100)] for loop in loops]
     assert samples[0] == samples[1] != samples[2]
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: malformed input is logged and skipped, valid input around it is still answered."""
+"""The simulator's wire protocol: malformed lines are logged and skipped, and valid ones still answered."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     return replies[0]
 
 
-def test_empty_batches_and_malformed_lines_get_one_reply_each() -> None:
+def test_each_batch_gets_one_reply_even_if_it_is_empty_or_has_malformed_lines() -> None:
     errors = io.StringIO()
     host = Host(errors)
     assert reply_to(host, "TICK at-time=1.5", "") == "NEXT\n"
@@ -43,7 +43,7 @@
     assert "ITEM" in skipped[4]
 
 
-def test_a_failure_of_one_instance_is_reported_as_its_crash_alone() -> None:
+def test_an_instance_that_fails_is_reported_as_crashed_once() -> None:
     class FailingPolicy:
         def handle(self, now_us: int, events: object) -> list[object]:
             raise RuntimeError("two\nlines")
@@ -55,7 +55,7 @@
     assert reply_to(host, "TICK at-time=2", "TARGET_INSTANCE governor=3", "DESTROY") == "NEXT\n"
 
 
-def test_endpoint_lists_are_resolved_in_order_and_a_restart_in_one_batch_starts_empty() -> None:
+def test_endpoint_lists_are_resolved_in_order_and_an_instance_restarted_in_a_batch_starts_empty() -> None:
     made: list[list[Event]] = []
 
     class RecordingPolicy:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What the platform's `run` loads and starts: one process, and nothing that it has no use for."""
+"""The deployment: what the `run` command starts and loads, and the limits of the policy's files."""
 
 from __future__ import annotations
 
@@ -46,28 +46,28 @@
     gradehoist.store gradehoist.store.log_writer
 """.split()
 )
-MAX_POLICY_LINES = 630  # the operators run no longer policy
+MAX_POLICY_LINES = 630  # The operators run no policy with more lines.
 MAX_POLICY_LINE_LENGTH = 110
 HEAVY = ("sqlite3", "kdl", "numpy", "highspy", "matplotlib", "click", "rich", "structlog", "multiprocessing")
 
 
-def test_run_ends_in_one_python_process_and_build_needs_no_kit() -> None:
+def test_the_run_and_sim_commands_start_python_modules_and_nothing_needs_the_bench_kit() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert deploy["run"] == "exec .venv/bin/python -m gradehoist.node"
     assert deploy["sim"] == "exec .venv/bin/python -m gradehoist.adapter"
     assert "given" not in "".join(str(v) for v in deploy.values())
 
 
-def test_the_node_loads_its_own_modules_and_no_others() -> None:
-    # The program's own imports come in `main`, behind the handlers of early signals: it gets as far as to say
-    # that no configuration is named.
+def test_the_node_loads_exactly_the_listed_modules() -> None:
+    # `main` imports the program's modules after installing its signal handlers, so the test runs `main` up to
+    # its error that no configuration is given.
     code = (
         "import sys, gradehoist.node.__main__ as node\n"
         "assert node.main() == 2\n"
         "print(*sorted(m for m in sys.modules if m.split('.')[0] == 'gradehoist'))\n"
         f"print(*[m for m in {HEAVY!r} if m in sys.modules])"
     )
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code],
         cwd=ROOT,
         capture_output=True,
@@ -75,13 +75,13 @@
         check=True,
         env={k: v for k, v in os.environ.items() if k != "ROUTER_CONFIG"},
     )
-    loaded, heavy = found.stdout.split("\n")[:2]
+    loaded, heavy = completed.stdout.split("\n")[:2]
     assert loaded.split() == LOADED
     assert heavy == ""
 
 
 def test_the_deploy_file_lists_every_policy_file_within_the_limits_of_its_size() -> None:
-    """The bench counts the listed files only: a folder in the list counted as no line at all."""
+    """The bench counts lines of the listed files only: a folder in the list counted as 0 lines."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     listed = [ROOT / name for name in deploy["policy"]]
     assert sorted(listed) == sorted((ROOT / "gradehoist" / "policy").rglob("*.py"))
@@ -92,14 +92,14 @@
     assert max(map(len, lines)) <= MAX_POLICY_LINE_LENGTH
 
 
-def test_the_program_names_nothing_of_any_site() -> None:
-    """Classes, zones, kinds, tiers, sites of the bench's deployments: they come from the settings alone."""
-    named = set[str]()
+def test_the_program_contains_no_names_of_the_bench_sites() -> None:
+    """Names of classes, zones, kinds, tiers and sites of the bench's deployments come only from settings."""
+    site_names = set[str]()
     for path in sorted((ROOT / "deploy" / "sites").glob("*/*.toml")):
         site = tomllib.loads(path.read_text())
-        named |= {site["name"], *site["net"]["zones"], *(c["name"] for c in site["class"])}
-        named |= {x["name"] for tier in site["tier"] for x in (tier, *tier["kind"])}
-    named |= {
+        site_names |= {site["name"], *site["net"]["zones"], *(c["name"] for c in site["class"])}
+        site_names |= {x["name"] for tier in site["tier"] for x in (tier, *tier["kind"])}
+    site_names |= {
         "rate-check",
         "booking-commit",
         "hall-a",
@@ -114,23 +114,23 @@
         "moose-jaw",
         "archive-servers",
     }
-    assert len(named) > 25
+    assert len(site_names) > 25
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    places = [ROOT / place for place in (*deploy["policy"], *deploy["node"], "gradehoist/interface.py")]
-    files = [f for place in places for f in (place.rglob("*.py") if place.is_dir() else [place])]
-    said = {n: f for f in files for n in named if re.search(rf"\b{re.escape(n)}\b", code_of(f))}
+    paths = [ROOT / path for path in (*deploy["policy"], *deploy["node"], "gradehoist/interface.py")]
+    files = [f for path in paths for f in (path.rglob("*.py") if path.is_dir() else [path])]
+    occurrences = {n: f for f in files for n in site_names if re.search(rf"\b{re.escape(n)}\b", code_of(f))}
     assert len(files) > 20
-    assert not said
+    assert not occurrences
 
 
 def code_of(path: Path) -> str:
-    """Without comments: those may name the play that a failure was found on."""
+    """Return the code without its comments, which may name the bench scenario that a failure was found in."""
     tokens = tokenize.generate_tokens(io.StringIO(path.read_text()).readline)
     return " ".join(t.string for t in tokens if t.type != tokenize.COMMENT)
 
 
-def test_the_running_node_starts_no_process_and_writes_no_file(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_running_node_starts_no_process_and_writes_no_file_but_its_log(tmp_path: Path) -> None:
+    async def run_node() -> None:
         node = NodeProcess(
             tmp_path, SETTINGS, [build_member(f"s-{n}", locality="ab"[n % 2]) for n in range(4)]
         )
@@ -149,4 +149,4 @@
         finally:
             node.kill()
 
-    asyncio.run(asyncio.wait_for(play(), 30))
+    asyncio.run(asyncio.wait_for(run_node(), 30))
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -1,4 +1,4 @@
-"""Records that a policy keeps of its fleet: withdrawals, tables as sent, request rates; control loops."""
+"""The state that a policy keeps of its fleet: withdrawals, sent tables and request rates; control loops."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     loop.run()
 
 
-def test_a_change_of_what_is_pending_keeps_its_place(loop: MessageLoop) -> None:
+def test_a_changed_pending_withdrawal_keeps_its_position(loop: MessageLoop) -> None:
     withdrawals = Withdrawals(loop)
     publish(
         loop,
@@ -37,7 +37,7 @@
     assert withdrawals.due((Availability.DRAINING,)) == [0, 1]
 
 
-def test_a_withdrawn_replica_is_withdrawn_for_another_reason_without_a_write(loop: MessageLoop) -> None:
+def test_a_new_reason_for_a_withdrawal_needs_no_write(loop: MessageLoop) -> None:
     withdrawals = Withdrawals(loop)
     publish(loop, SetAvailability(0, Availability.EJECTED))
     withdrawals.withdraw(0)
@@ -46,7 +46,7 @@
     assert withdrawals.withdrawn == {0: Availability.GONE}
 
 
-def test_a_withdrawal_is_lifted_only_of_a_replica_that_is_gone(loop: MessageLoop) -> None:
+def test_only_the_withdrawal_of_a_gone_replica_is_lifted_after_its_retention(loop: MessageLoop) -> None:
     withdrawals = Withdrawals(loop)
     publish(loop, SetAvailability(0, Availability.GONE), SetAvailability(1, Availability.DRAINING))
     for replica in (0, 1):
@@ -57,7 +57,7 @@
     assert withdrawals.withdrawn == {1: Availability.DRAINING}
 
 
-def test_lines_of_weight_0_leave_a_table_and_new_ones_are_counted() -> None:
+def test_lines_of_weight_0_are_removed_from_a_table_and_new_lines_are_counted() -> None:
     sent = SentTables(class_set_count=1)
     assert sent.apply([LineChange(0, 1, 0.5), LineChange(0, 2, 0.5)]) == 2
     assert sent.apply([LineChange(0, 1, 0.0), LineChange(0, 2, 0.7)]) == 0
@@ -66,7 +66,7 @@
     assert sent.bind_lines(extra_lines=3, lifts_withdrawals=True) == 1 + 3 + 2
 
 
-def test_changes_compare_ratios_and_leave_droppable_lines() -> None:
+def test_changes_compare_ratios_and_retained_lines_stay() -> None:
     sent = SentTables(class_set_count=1)
     sent.apply([LineChange(0, n, 1.0) for n in range(4)])
     twice = {0: {n: 2.0 for n in range(3)}}
@@ -75,18 +75,18 @@
     assert list(sent.replica_lines(twice, replica=0)) == [LineChange(0, 0, 1.0)]
 
 
-def test_demand_is_of_our_own_proxies_and_of_those_of_other_governors(loop: MessageLoop) -> None:
+def test_demand_includes_own_proxies_and_those_of_other_governors(loop: MessageLoop) -> None:
     config = policy_config(classes=(UNRESTRICTED, ZONE_LOCAL), proxies=6)
     rates = RequestRates(loop, config, class_sets=[(0,), (1,)], group_zones=[0, 0, 1, 2], smoothing=0.5)
     publish(loop, ProxyJoined(0, 0, 10.0), ProxyJoined(1, 0, 30.0), ProxyAssigned(0, 0), ProxyAssigned(1, 1))
     demand = rates.demand(zone_count=3)
     assert sum(map(sum, demand.shares)) == pytest.approx(1.0)
-    assert sum(demand.shares[0]) == pytest.approx(1 / 3), "two of the six proxies, both in zone 0"
+    assert sum(demand.shares[0]) == pytest.approx(1 / 3), "two of the six proxies, both of them in zone 0"
     assert demand.group_loads == [0.5, 1.5, 0.0, 0.0]
     assert demand.proxy_zones == {0}
 
 
-def test_rates_move_toward_what_proxies_report_until_they_leave(loop: MessageLoop) -> None:
+def test_rates_follow_the_reports_of_proxies_until_they_leave(loop: MessageLoop) -> None:
     rates = RequestRates(loop, policy_config(classes=(UNRESTRICTED,)), [(0,)], group_zones=[0], smoothing=0.5)
     publish(loop, ProxyJoined(0, 0, 10.0), RequestsOffered(0, 0, 40, 0, 2 * SECOND))
     assert rates.proxies[0].rates == [15.0]
@@ -97,7 +97,7 @@
     assert rates.demand(zone_count=1).group_loads == [0.0]
 
 
-def test_the_integral_stands_still_while_the_step_is_clamped() -> None:
+def test_the_integral_does_not_change_while_the_step_is_clamped() -> None:
     controller = PIController(gain_p=0.1, gain_i=0.1)
     assert controller.step(10.0, SECOND, limit=0.5) == 0.5
     assert controller.step(1.0, SECOND, limit=0.5) == pytest.approx(0.2)
@@ -106,18 +106,18 @@
     assert controller.step(-1.0, SECOND, limit=0.5) == pytest.approx(-0.2)
 
 
-def test_a_smoothed_signal_that_is_not_reported_any_more_is_dropped() -> None:
+def test_a_smoothed_signal_that_is_no_longer_reported_is_dropped() -> None:
     load = SmoothedLoad(smoothing=0.5, deviation_smoothing=0.1, initial_deviation=0.5)
     load.update(LoadReport(busy_share=0.4, in_flight=2.0))
     load.update(LoadReport(busy_share=0.8, in_flight=None))
     assert load.busy_share == pytest.approx(0.6)
     assert load.in_flight is None
-    assert load.deviation == pytest.approx(0.55), "the reading was as far off as the signal is high"
+    assert load.deviation == pytest.approx(0.55), "the relative deviation of the last reading is 1"
 
 
 @pytest.mark.parametrize(
     ("values", "population", "median"),
     [([], 0, 0.0), ([3.0], 2, 0.0), ([3.0], 1, 3.0), ([4.0, 1.0, 2.0], 5, 2.0), ([1.0, 2.0], 3, 2.0)],
 )
-def test_a_median_counts_only_of_a_majority(values: list[float], population: int, median: float) -> None:
+def test_a_median_needs_values_of_a_majority(values: list[float], population: int, median: float) -> None:
     assert majority_median(values, population) == median
--- a/tests/test_flow_control.py
+++ b/tests/test_flow_control.py
@@ -1,4 +1,4 @@
-"""Accounting of lines and messages: what is available, what acknowledgements free, what messages cost."""
+"""Flow control: which lines are available, what messages cost, and what acknowledgements release."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def send(flow: FlowControl, *proxies: int, lines: int = 1) -> int:
-    """Send a message of its own; return its revision."""
+    """Send a message and return its revision."""
     flow.write([ORDER], proxies, lines)
     (acknowledgement,) = [o for o in flow.take_orders() if isinstance(o, RequestAcknowledgement)]
     return acknowledgement.revision
@@ -56,7 +56,7 @@
     flow.loop.run()
 
 
-def test_lines_count_until_they_are_acknowledged_with_the_overhead_of_their_message() -> None:
+def test_lines_and_message_overhead_count_until_they_are_acknowledged() -> None:
     flow = flow_control()
     assert available(flow) == 50
     flow.write([ORDER], [0], 3)
@@ -64,7 +64,7 @@
     first, second = send(flow, lines=0), send(flow, 0, lines=2)
     assert available(flow) == 50 - (3 + OVERHEAD + 1) - (2 + OVERHEAD + 1)
     acknowledge(flow, 1, second)
-    assert not flow.is_idle(), "another proxy's acknowledgement frees nothing"
+    assert not flow.is_idle(), "the acknowledgement of another proxy releases nothing"
     acknowledge(flow, 0, first)
     assert available(flow) == 50 - (2 + OVERHEAD + 1)
     acknowledge(flow, 0, second)
@@ -72,44 +72,46 @@
     assert flow.is_idle()
 
 
-def test_an_acknowledgement_is_of_all_revisions_up_to_it() -> None:
+def test_an_acknowledgement_covers_all_earlier_revisions() -> None:
     flow = flow_control()
     send(flow, 0)
     acknowledge(flow, 0, send(flow, 0))
     assert flow.unacknowledged_lines == 0
 
 
-def test_available_lines_are_less_by_what_is_reserved_and_would_be_written() -> None:
+def test_reserved_lines_and_lines_to_be_written_reduce_the_available_lines() -> None:
     flow = flow_control()
     flow.reserved_lines += 7
     assert available(flow, 0, 1, lines=3) == 50 - 7 - 2 * (3 + OVERHEAD + 1)
     flow.write([ORDER], [0], 1)
-    assert available(flow, 0, lines=3) == 50 - 7 - (1 + OVERHEAD + 1) - 3, "its message is paid for already"
+    assert (
+        available(flow, 0, lines=3) == 50 - 7 - (1 + OVERHEAD + 1) - 3
+    ), "the overhead of the message is counted already"
     flow.take_orders()
-    assert available(flow) == 50 - (1 + OVERHEAD + 1), "a reservation ends with its reply"
+    assert available(flow) == 50 - (1 + OVERHEAD + 1), "a reservation ends with the reply"
 
 
-def test_a_proxy_that_has_had_its_messages_has_no_lines_until_the_window_has_passed() -> None:
+def test_a_proxy_at_its_message_limit_has_no_available_lines_until_the_window_has_passed() -> None:
     flow = flow_control()
     for _ in range(MESSAGES):
         acknowledge(flow, 0, send(flow, 0))
     assert available(flow, 0) == available(flow, 1, 0) == -math.inf
     assert math.isfinite(available(flow, 1))
     flow.write([ORDER], [0], 1)
-    assert math.isfinite(available(flow, 0)), "it has a message in this reply anyway"
+    assert math.isfinite(available(flow, 0)), "the proxy has a message in this reply already"
     flow.take_orders()
     flow.loop.now_us = 10 * SECOND
     assert math.isfinite(available(flow, 0))
 
 
-def test_no_limit_of_messages_is_written_as_0() -> None:
+def test_a_message_limit_of_0_means_no_limit() -> None:
     flow = flow_control(messages_per_window=0)
     for _ in range(50):
         acknowledge(flow, 0, send(flow, 0))
     assert math.isfinite(available(flow, 0))
 
 
-def test_a_proxy_that_left_owes_no_acknowledgement_and_gets_no_lines() -> None:
+def test_lines_of_a_proxy_that_left_are_released_and_it_gets_no_more() -> None:
     flow = flow_control()
     send(flow, 0, 1)
     flow.loop.publish(ProxyLeft(proxy=0))
@@ -120,7 +122,7 @@
 
 
 @pytest.mark.parametrize(("may_hold_withdrawals", "lines"), [(False, 5), (True, 7)])
-def test_lines_of_replicas_new_to_a_table_count_twice_where_withdrawals_may_be_held(
+def test_lines_that_add_a_replica_count_twice_for_a_proxy_that_may_hold_withdrawals(
     may_hold_withdrawals: bool, lines: int
 ) -> None:
     flow = flow_control(may_hold_withdrawals=may_hold_withdrawals)
@@ -129,20 +131,22 @@
 
 
 @pytest.mark.parametrize(("proxies", "to_all"), [([0], False), ([0, 1], True)])
-def test_a_message_for_every_proxy_is_marked_to_all(proxies: list[int], to_all: bool) -> None:
+def test_a_message_to_all_proxies_requests_the_acknowledgement_of_all(
+    proxies: list[int], to_all: bool
+) -> None:
     flow = flow_control()
     flow.write([ORDER], proxies, 1)
     assert flow.take_orders() == [ORDER, RequestAcknowledgement(revision=1, to_all=to_all)]
 
 
-def test_a_reply_without_lines_asks_for_no_acknowledgement() -> None:
+def test_a_reply_without_lines_requests_no_acknowledgement() -> None:
     flow = flow_control()
     flow.write([ORDER], [], 0)
     assert flow.take_orders() == [ORDER]
     assert flow.take_orders() == []
 
 
-def test_admission_rates_count_for_each_later_message() -> None:
+def test_admission_rates_count_in_each_later_message() -> None:
     flow = flow_control()
     flow.admission_orders = [ORDER, ORDER]
     flow.write_admission([0, 1])
@@ -153,7 +157,7 @@
     assert flow.unacknowledged_lines - before == 1 + 2 + OVERHEAD + 1
 
 
-def test_revisions_wrap() -> None:
+def test_revisions_wrap_around() -> None:
     flow = flow_control(messages_per_window=0)
     revisions = []
     for _ in range(REVISION_COUNT + 1):
