--- a/gradehoist/fleet_state/proxy_groups.py
+++ b/gradehoist/fleet_state/proxy_groups.py
@@ -39,8 +39,8 @@
 
     def smallest_group(self, zone: int) -> int:
         """Return the group of a zone with the fewest members, or group 0 if the zone has no group."""
-        nearby = [group for group, other in enumerate(self.zones) if other == zone] or [0]
-        return min(nearby, key=lambda group: (self.sizes[group], group))
+        candidates = [group for group, other in enumerate(self.zones) if other == zone] or [0]
+        return min(candidates, key=lambda group: (self.sizes[group], group))
 
     def add_proxy(self, proxy: int, group: int, slot: int, rate: float) -> None:
         """Add a proxy, to be bound after those of earlier time slots, and in its slot after higher rates."""
@@ -56,8 +56,8 @@
         if left.proxy in self.bound[group]:
             del self.bound[group][left.proxy]
         else:
-            # Rebuilding the heap for bound proxies too made it a sort of all binds for each of a thousand
-            # proxies that left.
+            # Only a proxy with a pending bind needs this: doing it for each of a thousand proxies that left
+            # sorted all binds each time.
             self.pending_binds = sorted(bind for bind in self.pending_binds if bind[2] != left.proxy)
 
     def _on_tables_written(self, written: TablesWritten) -> None:
@@ -67,13 +67,13 @@
     def next_bind(self, withdrawn: Set[int]) -> PendingBind:
         """Return the next bind and its cost, by the current tables.
 
-        The bind writes one more line for each replica of a table that is in `withdrawn`.
+        Each table of the bind takes one more line for each `withdrawn` replica in the group's tables.
         """
         proxy = self.pending_binds[0][2]
         group = self.group_by_proxy[proxy]
         tables = self.replicas[group]
-        named = frozenset[int]().union(*tables)
-        extra_lines = self._flow.admission_lines + len(withdrawn & named)
+        listed = frozenset[int]().union(*tables)
+        extra_lines = self._flow.admission_lines + len(withdrawn & listed)
         lifts_withdrawals = self._flow.may_hold_withdrawals(proxy)
         lines = self._flow.overhead_lines + len(self._groups[group].class_sets) * (1 + extra_lines)
         lines += sum(map(len, tables)) * (2 if lifts_withdrawals else 1)
@@ -104,8 +104,8 @@
         lines = sum(
             len(members) * len(self.replicas[group][0]) for group, members in enumerate(self.bound) if members
         )
-        named = frozenset[int]().union(*(tables[0] for tables in self.replicas if tables))
-        return lines / max(1, len(named))
+        listed = frozenset[int]().union(*(tables[0] for tables in self.replicas if tables))
+        return lines / max(1, len(listed))
 
     def send(self, group: int, message: object) -> None:
         """Send a message to the actor of a group."""
--- a/gradehoist/fleet_state/replica_table.py
+++ b/gradehoist/fleet_state/replica_table.py
@@ -255,11 +255,11 @@
     """
     totals = [s.totals for s in states]
     busy = [s.busy_share / busy_limit for s in states if s.busy_share is not None]
-    failing = [t.failures / t.attempts / failure_limit for t in totals if t.attempts >= 1]
-    late = [
+    failures = [t.failures / t.attempts / failure_limit for t in totals if t.attempts >= 1]
+    latency = [
         t.mean_latency_us / latency_objective_us / latency_limit for t in totals if t.attempts > t.failures
     ]
-    return max(majority_median(signal, len(states)) for signal in (busy, failing, late))
+    return max(majority_median(signal, len(states)) for signal in (busy, failures, latency))
 
 
 def failure_share(states: Iterable[ReplicaState]) -> float:
--- a/gradehoist/fleet_state/table_writer.py
+++ b/gradehoist/fleet_state/table_writer.py
@@ -30,7 +30,7 @@
         """Write line changes to all members."""
         new_lines = self.sent.apply(changes)
         if changes:
-            orders = [SetWeight(self._table(c.class_set), c.replica, c.weight) for c in changes]
+            orders = [SetWeight(self._table_number(c.class_set), c.replica, c.weight) for c in changes]
             self.loop.publish(WriteOrders(orders, list(self.members), len(orders), new_lines))
         is_outdated = bool(self.members) and any(self.changes())
         self.loop.publish(TablesWritten(self.index, is_outdated, self.sent.replicas()))
@@ -39,7 +39,7 @@
         """Yield the planned changes that are worth a line, after the group has waited for `periods`."""
         raise NotImplementedError
 
-    def _table(self, class_set: int) -> int:
+    def _table_number(self, class_set: int) -> int:
         return self.index * len(self.class_sets) + class_set
 
     def _on_write_replica(self, order: WriteReplica) -> None:
@@ -47,7 +47,9 @@
 
     def _on_bind_to_group(self, bind: BindToGroup) -> None:
         self.members[bind.proxy] = None
-        orders = [BindProxy(bind.proxy, self._table(k), classes) for k, classes in enumerate(self.class_sets)]
+        orders = [
+            BindProxy(bind.proxy, self._table_number(k), classes) for k, classes in enumerate(self.class_sets)
+        ]
         lines = self.sent.bind_lines(bind.extra_lines, bind.lifts_withdrawals)
         self.loop.publish(WriteOrders(orders, [bind.proxy], lines))
 
--- a/gradehoist/policy/pool.py
+++ b/gradehoist/policy/pool.py
@@ -74,7 +74,7 @@
         self.loop.publish(messages.SetAvailability(n, availability))
 
     def _update_held_back(self, state: messages.ReplicaState, is_restart: bool = False) -> bool:
-        # In an overload a cold replica gets far more than its weight; the first one of a class gets it all.
+        # In an overload a cold replica gets more than its weight; the first one of a class gets all requests.
         n = state.endpoint.replica
         is_held_back = state.is_open and self.replicas.is_cold(n) and self.replicas.has_warm_open()
         if is_held_back and not is_restart and not self.replicas.has_capacity_shortage(state.endpoint):
@@ -92,7 +92,7 @@
     def _on_replicas_readmitted(self, readmitted: messages.ReplicasReadmitted) -> None:
         self.replicas.readmission_pending.difference_update(readmitted.replicas)
         self._on_plan_due(messages.PlanDue())  # Once for all: a hundred plans made a step take 1.3 s.
-        self.fleet.write_replicas(readmitted.replicas)  # The readmission comes with the low weight.
+        self.fleet.write_replicas(readmitted.replicas)  # The low weight goes with the readmission.
 
     def _on_quotas_agreed(self, quotas: QuotasAgreed) -> None:
         self.locality.quotas = dict(quotas.zone_quotas)
--- a/gradehoist/policy/publisher.py
+++ b/gradehoist/policy/publisher.py
@@ -11,7 +11,7 @@
 QUEUE_SHARE = 0.5  # Of the queue limit, for binds and lines: the design's value.
 URGENT_QUEUE_SHARE = 0.85  # Drains may use more, but leave a margin for lines that are not counted exactly.
 MESSAGE_SHARE = 0.6  # Of a proxy's message limit; the rest is reserved for drains.
-BROADCAST_MESSAGE_SHARE = 0.3  # For ejections, readmissions and admission rates, of a proxy's limit.
+BROADCAST_MESSAGE_SHARE = 0.3  # Of a proxy's message limit, for ejections, readmissions and admission.
 READMISSION_LINES = 3  # For each holder: the lifted withdrawal, the low line, and a line that it replaces.
 MIN_TURN_INTERVAL_US = 20_000
 BIND_SLOTS = 4  # Per drain grace; proxies that joined within the same slot are bound in order of traffic.
@@ -72,7 +72,7 @@
     def _write_withdrawals(self, kinds: Collection[messages.Availability], queue_share: float) -> None:
         due = self.withdrawals.due(kinds)
         if not due:
-            return  # Saves counting the capacity of up to a thousand proxies at each message of each cell.
+            return  # This saves counting the capacity of a thousand proxies at each message of each cell.
         holders = {n: self.proxies.holders(n) for n in due}
         proxies = dict.fromkeys(proxy for some in holders.values() for proxy in some)
         lines = sum(map(len, holders.values()))
--- a/gradehoist/policy/replica.py
+++ b/gradehoist/policy/replica.py
@@ -11,13 +11,13 @@
 from gradehoist.policy.outlier import ejection_time_us, is_failing
 
 MIN_WEIGHT, MAX_WEIGHT = 0.05, 4.0  # The design's bounds of a normalized weight.
-DEAD_BAND = 0.05  # The design's; it is softened by the deviation of readings, as weights followed the noise.
+DEAD_BAND = 0.05  # The design's. Larger errors are damped by the deviation, or weights would follow noise.
 SMOOTHING = 1 / 3  # An exponential moving average over about five reports: 2 / (5 + 1).
 ATTEMPT_DECAY = 0.5  # Of the attempt totals, each report period, or each second where the period is shorter.
 GAIN_P, GAIN_I = 0.06, 0.005  # Per second: with delays of up to 8 s, gain times delay may be a half at most.
 READMISSION_RAMP_DIVISOR = 4  # Of the warm-up time: ejected replicas are usually warm and ramp up sooner.
 MAX_STEP = 0.25  # The design's limit of a step, relative to the weight.
-INITIAL_DEVIATION, DEVIATION_SMOOTHING = 0.5, 0.1  # Slow, so that a real change does not count as noise.
+INITIAL_DEVIATION, DEVIATION_SMOOTHING = 0.5, 0.1  # Slow smoothing: a real change must not count as noise.
 MAX_WINDOW_US = 60 * SECOND  # Longer windows come from pauses; one of an hour froze the loop for minutes.
 MIN_RELATIVE_SIZE = 0.01  # Of the mean size, so that a replica listed without a size has a finite load.
 MIN_SUCCESS_SHARE = 0.1  # Failed attempts raise a replica's load tenfold at most.
--- a/gradehoist/policy/subsetting.py
+++ b/gradehoist/policy/subsetting.py
@@ -14,7 +14,7 @@
 LINE_COPIES = 2  # A replica that another governor may have withdrawn takes a second line for its readmission.
 BIND_LINES = 2  # Lines of a bind itself, besides those of its tables.
 MIN_ZONE_SHARE = 2 * EXPLORATION_SHARE  # A zone with less of a table's weight is left out of a subset.
-SHRINK_RATIO, GROW_RATIO = 3, 1.5  # Hysteresis of arc widths: smaller changes of load keep the lines as is.
+SHRINK_RATIO, GROW_RATIO = 3, 1.5  # Hysteresis: a smaller change of a group's load does not change its arc.
 
 
 def group_zones(config: PolicyConfig) -> list[int]:
@@ -33,7 +33,7 @@
 
 
 class Subsetting:
-    """Rings of replicas, in a random order for each governor, so that subsets do not overlap alike."""
+    """Rings of replicas; each governor orders them at random, or all would prefer the same replicas."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Create the rings; groups of a zone start at even steps from a random position."""
@@ -41,7 +41,7 @@
         self.zones = fleet.proxies.zones
         self.size = subset_size(fleet.config, len(fleet.replicas.class_sets))
         self.offset = fleet.loop.random()
-        self.widths = [1.0] * len(self.zones)  # of the arc, by group
+        self.widths = [1.0] * len(self.zones)  # arc width by group
 
     def set_widths(self, group_loads: list[float]) -> None:
         """Set the width of each group's arc to its load, as a multiple of the mean."""
