--- a/gradehoist/membership/__init__.py
+++ b/gradehoist/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of one process in its fleet, shared by all roles."""
+"""Membership of one process in its fleet, which is the same for processes of all roles."""
--- a/gradehoist/membership/log_events.py
+++ b/gradehoist/membership/log_events.py
@@ -1,4 +1,4 @@
-"""Names and severity of the log events that report what happens to a membership."""
+"""Names and severity of the log events of a membership."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """How one type of notification is logged; the fields of the event are those of the type."""
+    """How one type of notification is logged. The event has the fields of the notification."""
 
     name: str
     is_warning: bool = False
 
 
-# By the type of notification; types that are not listed are not logged.
+# The log events by type of notification. Notifications of other types are not logged.
 LOG_EVENTS: Mapping[type[Notification], LogEvent] = {
     FleetJoined: LogEvent("fleet_joined"),
     SessionRestored: LogEvent("session_restored"),
--- a/gradehoist/membership/service.py
+++ b/gradehoist/membership/service.py
@@ -1,7 +1,8 @@
-"""Membership of a process in its fleet: session, elections, failure detection and log events on one clock.
+"""Membership of a process in its fleet: session, elections, failure detection and log events.
 
-The role of the process goes on whatever happens here. A coordination store that is unavailable, full, slow or
-rolled back costs coordination alone, and so does a bug in this package, which is logged.
+Nothing in this package may interrupt the process' actual work. A coordination store that is unavailable,
+full, slow or rolled back only affects coordination. A bug in this package is logged, and ends nothing but
+coordination.
 """
 
 from __future__ import annotations
@@ -35,15 +36,15 @@
 from gradehoist.settings.fleet import CoordinationSettings
 from gradehoist.store.sqlite_store import SqliteStore
 
-# Between two looks at all members. A look at each change of the store would cost the size of the fleet, and
-# nobody is suspected in less time.
+# Time between two assessments of all members. An assessment takes time in proportion to the size of the
+# fleet, so there is not one for each change in the store. No member becomes suspected in a shorter time.
 ASSESSMENT_INTERVAL_US = 200_000
 
 REACHABILITY_PREFIX = "views/"
 
 
 def open_store(settings: CoordinationSettings) -> CoordinationStore:
-    """Open the coordination store that the settings name: an etcd server or a folder of this machine."""
+    """Open the coordination store of the settings: an etcd server or a folder on this machine."""
     if settings.etcd_address is not None:
         return EtcdStore(*settings.etcd_address, settings.key_prefix)
     assert settings.folder is not None
@@ -51,21 +52,22 @@
 
 
 def new_incarnation(name: str) -> str:
-    """A name for one run of a process, never used again for another."""
+    """Return a unique id for one run of the process `name`."""
     return f"{name}-{uuid.uuid4().hex[:8]}"
 
 
 class Membership:
-    """One process as a member of its fleet; owned by the service of its role, which runs and leaves it.
+    """One process as a member of its fleet. The service of the process' role owns it.
 
     Attributes:
-        agent: The session with the coordination store and the cached records.
-        members: The failure detector over all members.
-        elections: The leader elections in which this process stands.
-        key_listeners: Called with each key of the store that changed.
+        settings: The settings of coordination.
+        participant: The session with the coordination store, and the cached records.
+        members: The failure detector for all members.
+        elections: The leader elections in which this process is a candidate.
+        key_listeners: Called with the key of each record that changed in the store.
         proposal_listeners: Called with the id and the outcome of each commit that this process proposed.
-        tick_listeners: Called after each round with the time in µs.
-        failure_listeners: Called once when a bug ended coordination, so that no further round will come.
+        tick_listeners: Called at the end of each tick with the time in µs.
+        failure_listeners: Called once if a bug ended coordination, after which there are no more ticks.
     """
 
     def __init__(
@@ -76,17 +78,17 @@
         log: Callable[..., None],
         recorder: CallRecorder | None = None,
     ) -> None:
-        """Prepare the membership without joining; `run` joins.
+        """Create a membership that has not joined. `run` joins the fleet.
 
         Args:
-            settings: Where the coordination store is, and its times.
+            settings: The settings of coordination.
             identity: Role, name, zone, incarnation and address of this process.
-            seed: The seed of the settings for random choices.
-            log: Takes an event's name, whether it is a warning, and its fields.
-            recorder: Keeps a history of all calls to the store, if given.
+            seed: The seed from the settings for random choices.
+            log: Called with the name of a log event, whether it is a warning, and its fields.
+            recorder: Records a history of all calls to the store, if given.
         """
         self.settings = settings
-        # With one seed for all, processes started from the same settings would all retry at the same time.
+        # With the same seed, all processes with the same settings would retry at the same time.
         process_seed = zlib.crc32(f"{seed}:{identity.incarnation}".encode())
         self.participant = Participant(identity, settings.session_ttl_us, process_seed)
         self.members = FailureDetector(
@@ -108,10 +110,13 @@
         self._next_assessment_us = 0
         self._written_report = ReachabilityReport()
         self._proposed_report = ReachabilityReport()
-        self._report_commit_id = ""  # of the proposed report, empty when none is under way
+        self._report_commit_id = ""  # the id of the commit of the proposed report; empty if none is pending
 
     async def run(self) -> None:
-        """Take part in the fleet until `leave`, cancellation, or a bug, which is logged."""
+        """Take part in the fleet until `leave` is called or the task is cancelled.
+
+        A bug in coordination is logged and also ends this call.
+        """
         self._running = asyncio.ensure_future(self._client.run())
         try:
             await asyncio.wait([self._running])
@@ -124,19 +129,25 @@
             await self._checker.close()
 
     async def leave(self) -> None:
-        """End the session, so that the others need not wait for it to expire."""
+        """End the session, so that the other processes need not wait for its expiry."""
         if self._running is not None and not self._running.done():
             await self._client.leave(self._running)
 
     def join_election(self, name: str, takeover_delay_us: int) -> LeaderElection:
-        """Stand in the leader election `name`, taking over that long after a leader's record is gone."""
+        """Become a candidate in the leader election `name`.
+
+        Args:
+            name: Name of the election.
+            takeover_delay_us: How long the leader's member record is missing before the first candidate
+                claims.
+        """
         rank = zlib.crc32(f"{self.participant.identity.incarnation}:{name}".encode()) / 2**32
         election = LeaderElection(name, takeover_delay_us, rank)
         self.elections.append(election)
         return election
 
     def propose(self, *changes: Change) -> str:
-        """Propose a commit and return its id, or log the rejection of an oversized record and return ""."""
+        """Propose a commit and return its id. If a record is too large, log that and return ""."""
         try:
             commit_id = self.participant.propose(*changes)
         except RecordTooLargeError as fault:
@@ -146,7 +157,7 @@
         return commit_id
 
     def status(self) -> dict[str, Any]:
-        """The membership as the HTTP status shows it."""
+        """Return the state of the membership for the HTTP status."""
         counts = dict[str, int]()
         for state in self._states.values():
             counts[state.value] = counts.get(state.value, 0) + 1
@@ -171,7 +182,7 @@
         return error_response(410, f"this is {incarnation}")
 
     def _on_failure(self, fault: BaseException) -> None:
-        """Log a bug in coordination: it must not end a process that works without it."""
+        """Log a bug in coordination, which must not end a process that works without it."""
         self._log("coordination_failed", True, reason=repr(fault))
         for on_failure in self.failure_listeners:
             on_failure()
@@ -187,7 +198,8 @@
                 for key in keys:
                     self._on_key_changed(key)
             case SessionEnded() | ProcessFenced():
-                self._written_report = ReachabilityReport()  # the store dropped it with the session
+                # The store deletes the report together with the session.
+                self._written_report = ReachabilityReport()
 
     def _on_commit_settled(self, commit_id: str, outcome: CommitOutcome) -> None:
         if commit_id == self._report_commit_id:
@@ -237,7 +249,7 @@
         )
 
     def _publish_reachability(self, report: ReachabilityReport) -> None:
-        """Write which members this process can't reach, if that has changed."""
+        """Write the reachability report to the store if it has changed."""
         if report == self._written_report or self._report_commit_id or not self.participant.is_joined:
             return
         key = REACHABILITY_PREFIX + self.participant.identity.member_key.removeprefix(MEMBERS_PREFIX)
