--- a/gradehoist/history/linearizability.py
+++ b/gradehoist/history/linearizability.py
@@ -45,7 +45,7 @@
 
     def __str__(self) -> str:
         """The key and the operations, one a line."""
-        title = f"{self.key}: no order of these calls is one of a register:"
+        title = f"{self.key}: no linearizable order of these operations exists:"
         return "\n".join([title, *(f"  {operation}" for operation in self.operations)])
 
 
--- a/gradehoist/history/records.py
+++ b/gradehoist/history/records.py
@@ -195,6 +195,6 @@
                 continue
             raise IncompleteHistoryError(f"{path}:{number}: {error}") from None
         if isinstance(entry, HistoryTruncated):
-            raise IncompleteHistoryError(f"{path}: bound of lines reached")
+            raise IncompleteHistoryError(f"{path}: history truncated at its maximum number of entries")
         entries.append(entry)
     return entries
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -315,7 +315,7 @@
     writer = HistoryWriter(path, "b", max_entries=3)
     for number in range(5):
         writer(ProcessEvent(number, "b", "x"))
-    with pytest.raises(IncompleteHistoryError, match="bound"):
+    with pytest.raises(IncompleteHistoryError, match="truncated at its maximum"):
         load_history([path])
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -828,7 +828,7 @@
     lines = records.load_history(history("broken"))
     (stale,) = linearizability.find_linearizability_violations(lines)
     assert str(stale) == (
-        "k: no order of these calls is one of a register:\n"
+        "k: no linearizable order of these operations exists:\n"
         "  0.000003 to 0.000004 s a: commit a:2 version 2 -> (3, 'a:2')\n"
         "  0.000005 to 0.000006 s b: read saw (2, 'a:1')"
     )
@@ -847,7 +847,9 @@
 
 
 def test_a_history_cut_by_its_bound_gives_no_verdict() -> None:
-    with pytest.raises(records.IncompleteHistoryError, match="bound of lines reached"):
+    with pytest.raises(
+        records.IncompleteHistoryError, match="history truncated at its maximum number of entries"
+    ):
         records.load_history(history("cut"))
 
 
