--- a/gradehoist/history/__init__.py
+++ b/gradehoist/history/__init__.py
@@ -1,1 +1,1 @@
-"""Records of what processes requested, observed and did, and checkers that read such records alone."""
+"""Histories of the requests, responses and effects of processes, and checkers that read only these."""
--- a/gradehoist/history/exactly_once.py
+++ b/gradehoist/history/exactly_once.py
@@ -1,4 +1,4 @@
-"""Checks effects: generations only grow, and no item takes effect twice."""
+"""Checks the effects in a history: generations never decrease, and no item takes effect twice."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class EffectViolation(NamedTuple):
-    """A rule that effects break; `effects` is the shortest sequence that shows it."""
+    """A violation of a rule. `effects` is the shortest sequence of effects that shows it."""
 
     description: str
     effects: tuple[Effect, ...]
 
     def __str__(self) -> str:
-        """The description and the effects, one a line."""
+        """Returns the description and the effects, one per line."""
         return "\n".join([self.description, *(f"  {_describe(effect)}" for effect in self.effects)])
 
 
@@ -29,7 +29,7 @@
 
 
 def find_fencing_violations(entries: Iterable[HistoryEntry]) -> list[EffectViolation]:
-    """Where, at one process, a resource's generation falls, or one generation has two holders."""
+    """Finds effects at one process whose generation is lower than before, or has a different holder."""
     latest: dict[tuple[str, str], Effect] = {}
     violations = []
     for effect in entries:
@@ -48,7 +48,7 @@
 
 
 def find_duplicate_effects(entries: Iterable[HistoryEntry]) -> list[EffectViolation]:
-    """Where an item took effect more than once, at whichever processes."""
+    """Finds items that took effect more than once, at the same process or at different ones."""
     first: dict[str, Effect] = {}
     violations = []
     for effect in entries:
--- a/gradehoist/history/linearizability.py
+++ b/gradehoist/history/linearizability.py
@@ -1,11 +1,13 @@
-"""Checks whether the store was linearizable, key by key, from what processes requested and observed.
-
-For each key the operations must have an order in which each takes place at one moment between its invocation
-and its completion, every write finds the version that it expected, and every read shows the last write. A
-write of unknown outcome may have taken place at any time since its invocation, or never. A record that
-belongs to a session may go at any time. Reads change nothing, so each is placed as early as the state fits;
-what is searched is the order of the writes alone (after Wing and Gong, with Lowe's search from completion to
-completion).
+"""Checks from the requests and responses of processes whether the store was linearizable, one key at a time.
+
+The operations on a key are linearizable if they have an order in which each takes place at one moment between
+its invocation and its completion, every write finds the version that it expects, and every read returns the
+last write. A write of unknown outcome may take place at any time after its invocation, or never. A record
+that belongs to a session may be deleted at any time.
+
+Reads do not change the state, so each read takes place as soon as the state is the one that it observed. Only
+the order of the writes is searched. The search is that of Wing and Gong, with Lowe's refinement of searching
+from one completion to the next.
 """
 
 from __future__ import annotations
@@ -23,50 +25,54 @@
 from gradehoist.history.records import HistoryEntry, HistoryError
 
 MAX_CONFIGURATIONS = 200_000
-"""Configurations at once: far beyond those of any history that is in order."""
+"""Bound on the number of configurations at one time. A history without violations has far fewer."""
 
 Configuration = tuple[RecordState, frozenset[int]]
-"""A state that the record may have, and which operations in flight took place on the way to it."""
+"""A possible state of the record, and the indices of the operations in flight that led to it."""
 
 
-class HistoryTooLooseError(HistoryError):
-    """Too many orders are possible at once to check a history."""
+class TooManyConfigurationsError(HistoryError):
+    """The history can't be checked because too many orders are possible."""
 
 
 @dataclass(frozen=True)
 class LinearizabilityViolation:
-    """Operations on a key that no order explains.
+    """Operations on a key that have no linearizable order.
 
-    `operations` is the shortest run of them up to the one that fits nowhere, whatever state it began in.
+    Attributes:
+        key: The key.
+        operations: The shortest sequence of completed operations that has no order from any initial state.
+            Its last operation is the first one that can't be explained.
     """
 
     key: str
     operations: tuple[Operation, ...]
 
     def __str__(self) -> str:
-        """The key and the operations, one a line."""
+        """Returns the key and the operations, one per line."""
         title = f"{self.key}: no linearizable order of these operations exists:"
         return "\n".join([title, *(f"  {operation}" for operation in self.operations)])
 
 
 def find_linearizability_violations(entries: Iterable[HistoryEntry]) -> list[LinearizabilityViolation]:
-    """A violation for each key whose operations have no order. Raises HistoryTooLooseError."""
+    """Returns a violation for each key without a linearizable order. Raises TooManyConfigurationsError."""
     violations = []
     for key, key_operations in sorted(group_by_key(entries).items()):
         operations = key_operations.with_session_ends()
-        misfit = _Search(operations).run({ABSENT})
-        if misfit is not None:
-            violations.append(LinearizabilityViolation(key, _shortest_misfit(operations, misfit)))
+        unexplained = _Search(operations).run({ABSENT})
+        if unexplained is not None:
+            violations.append(LinearizabilityViolation(key, _shortest_violation(operations, unexplained)))
     return violations
 
 
 class _Search:
-    """Follows, from completion to completion, all configurations that the operations on one key allow."""
+    """Computes all configurations that the operations on one key allow, from one completion to the next."""
 
     def __init__(self, operations: list[Operation]) -> None:
         self._operations = {operation.index: operation for operation in operations}
         self._never_completed = {operation.index for operation in operations if not operation.is_completed}
-        # Of states that nobody saw the version is not known, but it is above the one that the write expected.
+        # The version of a state that no process observed is unknown, but is higher than the version that the
+        # write expected.
         self._version_before_unseen = {
             operation.written: operation.expected_version
             for operation in operations
@@ -78,9 +84,9 @@
         self._configurations: set[Configuration] = set()
 
     def run(self, initial_states: set[RecordState]) -> Operation | None:
-        """The operation at whose completion no order is left, or None."""
+        """Returns the operation at whose completion no configuration is left, or None."""
         self._configurations = {(state, frozenset()) for state in initial_states}
-        for operation, is_completion in self._moments():
+        for operation, is_completion in self._events():
             if not is_completion:
                 self._on_invocation(operation)
                 continue
@@ -88,19 +94,19 @@
             if not self._configurations:
                 return operation
             if len(self._configurations) > MAX_CONFIGURATIONS:
-                raise HistoryTooLooseError(
-                    f"over {MAX_CONFIGURATIONS} orders are possible at once: too many to check the history"
+                raise TooManyConfigurationsError(
+                    f"more than {MAX_CONFIGURATIONS} orders are possible; the history can't be checked"
                 )
         return None
 
-    def _moments(self) -> list[tuple[Operation, bool]]:
-        """Invocations and completions in order; of the same time, invocations come first."""
-        moments: list[tuple[float, bool, int]] = []
+    def _events(self) -> list[tuple[Operation, bool]]:
+        """Returns invocations and completions in order of time. At the same time, invocations come first."""
+        events: list[tuple[float, bool, int]] = []
         for operation in self._operations.values():
-            moments.append((operation.invoked_us, False, operation.index))
+            events.append((operation.invoked_us, False, operation.index))
             if operation.is_completed:
-                moments.append((operation.completed_us, True, operation.index))
-        return [(self._operations[index], is_completion) for _, is_completion, index in sorted(moments)]
+                events.append((operation.completed_us, True, operation.index))
+        return [(self._operations[index], is_completion) for _, is_completion, index in sorted(events)]
 
     def _on_invocation(self, operation: Operation) -> None:
         if not operation.is_read:
@@ -123,15 +129,16 @@
         self._writes_in_flight.discard(operation.index)
 
     def _until_done(self, start: Configuration, index: int) -> set[Configuration]:
-        """All configurations in which an operation has taken place, by way of any writes in flight."""
+        """Returns all configurations after an operation, reached by any of the writes in flight."""
         reached: set[Configuration] = set()
         seen = {start}
         to_visit = [start]
         while to_visit:
             state, done = to_visit.pop()
             if index in done:
+                # Further writes in flight are searched at the completions that depend on them.
                 reached.add((state, done))
-                continue  # what else may have taken place by now is searched when it matters
+                continue
             for following in self._after_one_write(state, done):
                 if following not in seen:
                     seen.add(following)
@@ -139,7 +146,7 @@
         return reached
 
     def _after_one_write(self, state: RecordState, done: frozenset[int]) -> list[Configuration]:
-        """The configurations after any one write in flight, with all reads that its state allows."""
+        """Returns the configurations after any one write in flight and the reads that observed its state."""
         following = []
         for index in self._writes_in_flight - done:
             write = self._operations[index]
@@ -152,7 +159,11 @@
         return following
 
     def _impossible_writes(self, state: RecordState) -> frozenset[int]:
-        """Writes of unknown outcome that can't follow any more: whether they took place is irrelevant."""
+        """Returns the writes of unknown outcome that can't take place any more.
+
+        They are marked as done, since it makes no difference whether they took place. This reduces the number
+        of configurations.
+        """
         version = state[0]
         if version == UNSEEN_VERSION:
             version = self._version_before_unseen.get(state, 0) + 1
@@ -166,15 +177,15 @@
         return frozenset(impossible)
 
 
-def _shortest_misfit(operations: list[Operation], misfit: Operation) -> tuple[Operation, ...]:
-    """The fewest last operations that have no order, whatever the state before them."""
+def _shortest_violation(operations: list[Operation], unexplained: Operation) -> tuple[Operation, ...]:
+    """Returns the shortest sequence of operations, up to `unexplained`, without an order from any state."""
     relevant = sorted(
-        (operation for operation in operations if operation.invoked_us <= misfit.completed_us),
+        (operation for operation in operations if operation.invoked_us <= unexplained.completed_us),
         key=lambda operation: (operation.completed_us, operation.invoked_us),
     )
     initial_states = _possible_states(relevant)
-    completed = [operation for operation in relevant if operation.completed_us <= misfit.completed_us]
-    in_flight = [operation for operation in relevant if operation.completed_us > misfit.completed_us]
+    completed = [operation for operation in relevant if operation.completed_us <= unexplained.completed_us]
+    in_flight = [operation for operation in relevant if operation.completed_us > unexplained.completed_us]
     for first in range(len(completed) - 1, -1, -1):
         window = completed[first:]
         if _Search([*window, *in_flight]).run(initial_states) is not None:
@@ -183,7 +194,7 @@
 
 
 def _possible_states(operations: list[Operation]) -> set[RecordState]:
-    """All states that some operations mention."""
+    """Returns all states that the operations observed, wrote or expected."""
     states = {ABSENT}
     for operation in operations:
         if operation.observed is not None:
--- a/gradehoist/history/operations.py
+++ b/gradehoist/history/operations.py
@@ -1,7 +1,8 @@
-"""Turns the calls of a history into operations on single records, as the linearizability checker needs them.
+"""Converts the calls of a history into operations on single records, for the linearizability checker.
 
-A commit is a write of each of its keys, a full read a read of each known key below its prefix, and a rejected
-commit a read of the records that rejected it. Watches are left out: they show the past.
+A commit becomes a write of each of its keys. A full read becomes a read of each known key below its prefix. A
+rejected commit becomes a read of the records that rejected it. Watches are left out, because they show past
+states.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 US_PER_S = 1e6
 
 RecordState = tuple[int, str]
-"""A record's version, `UNSEEN_VERSION` where nobody saw it, and the id of the commit that wrote it."""
+"""A record's version (`UNSEEN_VERSION` if no process observed it), and the id of its commit."""
 
 ABSENT: RecordState = (0, "")
 UNSEEN_VERSION = -1
-NO_VERSION = -2
-"""An expected version that no state has."""
+IMPOSSIBLE_VERSION = -2
+"""An expected version that does not occur."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -30,14 +31,14 @@
     """A read or a write of one record.
 
     Attributes:
-        index: Its place among the operations on the record.
-        process: Who made it.
-        description: For people.
-        invoked_us: It takes place no earlier.
-        completed_us: It takes place no later; infinite where its outcome is unknown.
-        expected_version: The version that a write has to find.
-        observed: The state that a read showed; None for a write.
-        written: The state that a write leaves; None for a read.
+        index: Its position among the operations on the record.
+        process: The process that requested it.
+        description: A description for reports.
+        invoked_us: The earliest time at which it may take place.
+        completed_us: The latest time at which it may take place; infinite if its outcome is unknown.
+        expected_version: The version that the record has to have before a write.
+        observed: The state that a read returned; None for a write.
+        written: The state after a write; None for a read.
     """
 
     index: int
@@ -51,22 +52,22 @@
 
     @property
     def is_read(self) -> bool:
-        """Whether it changes nothing."""
+        """Whether the operation is a read."""
         return self.observed is not None
 
     @property
     def is_completed(self) -> bool:
-        """Whether it certainly took place."""
+        """Whether the operation certainly took place."""
         return self.completed_us < math.inf
 
     def can_follow(self, state: RecordState) -> bool:
-        """Whether it can take place in that state."""
+        """Whether the operation can take place in that state."""
         if self.observed is not None:
             return self.observed == state
         return self.expected_version == state[0]
 
     def __str__(self) -> str:
-        """When, who, and what it did."""
+        """Returns the time, the process and the result of the operation."""
         completed = f"{self.completed_us / US_PER_S:.6f}" if self.is_completed else "?"
         if self.is_read:
             result = f"saw {self.observed}"
@@ -78,7 +79,12 @@
 
 @dataclass
 class KeyOperations:
-    """The operations on one key, and the sessions of those writes whose record may go by itself."""
+    """The operations on one key.
+
+    Attributes:
+        operations: The operations, in the order of their index.
+        session_by_index: The session of each write whose record belongs to a session, by the write's index.
+    """
 
     operations: list[Operation] = field(default_factory=list)
     session_by_index: dict[int, str] = field(default_factory=dict)
@@ -97,7 +103,7 @@
         )
 
     def add_write(self, call: Call, expected_version: int, written: RecordState, session_id: str) -> None:
-        """Appends a write; its record goes with a session where `session_id` names one."""
+        """Appends a write. If `session_id` is given, the record belongs to that session."""
         index = len(self.operations)
         if session_id:
             self.session_by_index[index] = session_id
@@ -114,7 +120,10 @@
         )
 
     def with_session_ends(self) -> list[Operation]:
-        """The operations, and for each record that belongs to a session its deletion at any time or never."""
+        """Returns the operations, and a possible deletion for each write whose record belongs to a session.
+
+        The deletion by the end of the session may take place at any time after the write, or never.
+        """
         operations = list(self.operations)
         for index, session_id in self.session_by_index.items():
             write = self.operations[index]
@@ -123,11 +132,11 @@
             operations.append(
                 Operation(
                     index=len(operations),
-                    process="register",
+                    process="store",
                     description=f"end of session {session_id}",
                     invoked_us=write.invoked_us,
                     completed_us=math.inf,
-                    expected_version=version if version > 0 else NO_VERSION,
+                    expected_version=version if version > 0 else IMPOSSIBLE_VERSION,
                     written=ABSENT,
                 )
             )
@@ -135,26 +144,26 @@
 
 
 class Call(NamedTuple):
-    """An invocation with its completion, if it has one."""
+    """An invocation, and its completion if there is one."""
 
     invocation: Invocation
     completion: Completion | None
 
     @property
     def outcome(self) -> CallOutcome:
-        """How it completed; unknown where it did not."""
+        """How the call completed; unknown if it did not."""
         return self.completion.outcome if self.completion is not None else CallOutcome.UNKNOWN
 
     @property
     def completed_us(self) -> float:
-        """When it completed; infinite where it may take place later, or took no effect."""
+        """When the call completed; infinite if it may take effect later, or had no effect."""
         if self.completion is None or self.outcome in (CallOutcome.UNKNOWN, CallOutcome.FAILED):
             return math.inf
         return self.completion.time_us
 
 
 def group_by_key(entries: Iterable[HistoryEntry]) -> dict[str, KeyOperations]:
-    """The operations on each key of a history."""
+    """Returns the operations on each key of a history."""
     calls = _pair_calls(list(entries))
     versions = _observed_versions(calls)
     keys = {key for key, _ in versions}
@@ -183,7 +192,7 @@
 
 
 def _observed_versions(calls: list[Call]) -> dict[tuple[str, str], int]:
-    """The version that a commit gave a key, by key and commit id, from all that any process saw."""
+    """Returns the version that a commit gave a key, by key and commit id, if any process observed it."""
     versions: dict[tuple[str, str], int] = {}
     for invocation, completion in calls:
         if completion is None:
@@ -198,10 +207,11 @@
 
 
 def _merge_attempts(calls: list[Call]) -> Iterator[Call]:
-    """Merges the attempts of one commit, of which at most one can find the version that it expects.
+    """Merges the attempts of each commit.
 
-    Where one was committed, those of unknown outcome were not; else they are one call that began with the
-    first.
+    At most one attempt of a commit can find the versions that it expects. If one was committed, those of
+    unknown outcome were not, and are dropped. Otherwise only the first attempt of unknown outcome is kept, as
+    it may take effect at any later time.
     """
     settled = {
         call.invocation.commit_id
@@ -228,7 +238,7 @@
 def _add_rejected_commit(grouped: defaultdict[str, KeyOperations], call: Call) -> None:
     assert call.completion is not None
     for record in call.completion.observed:
-        grouped[record.key].add_read(call, "refused commit", (record.version, record.commit_id))
+        grouped[record.key].add_read(call, "rejected commit", (record.version, record.commit_id))
 
 
 def _add_commit(
