--- a/gradehoist/history/recorder.py
+++ b/gradehoist/history/recorder.py
@@ -1,4 +1,4 @@
-"""Records what a process requests of the coordination store and what it gets in response."""
+"""Records the requests of a process to the coordination store, and the responses."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 class HistoryRecorder:
     """Records the reads, commits and watches of one process.
 
-    Calls that concern sessions are left out: what they do shows in the records that go with the sessions.
+    Calls that concern sessions are left out. Their effects appear in the records that belong to the sessions.
     """
 
     def __init__(
@@ -50,13 +50,19 @@
         process: str,
         clock: Callable[[], int] = monotonic_us,
     ) -> None:
-        """Takes `write`, which is called with each entry, and `clock`, which tells microseconds."""
+        """Creates a recorder.
+
+        Args:
+            write: Called with each entry.
+            process: The name of the process in the entries.
+            clock: Returns the time in microseconds.
+        """
         self._write = write
         self._process = process
         self._clock = clock
 
     def record_invocation(self, request: StoreRequest) -> None:
-        """Records that a request leaves."""
+        """Records that a request is sent."""
         match request.operation:
             case CommitChanges(changes, commit_id):
                 entry = self._invocation(request, StoreCall.COMMIT)
@@ -68,7 +74,7 @@
                 self._write(replace(entry, prefix=prefix, after_revision=after_revision))
 
     def record_completion(self, request: StoreRequest, result: Response | CoordinationError) -> None:
-        """Records the response to a request, or its failure."""
+        """Records the response to a request, or that the request failed."""
         if not isinstance(request.operation, CommitChanges | ReadRecords | WatchChanges):
             return
         match result:
@@ -134,7 +140,7 @@
 
 
 def _observed_by_rejection(request: StoreRequest, records: tuple[Record, ...]) -> tuple[ObservedRecord, ...]:
-    """A rejection shows the records under the commit's keys, and which of these have none."""
+    """Returns the records under the commit's keys. Keys without a record do not exist."""
     assert isinstance(request.operation, CommitChanges)
     existing = {record.key for record in records}
     absent = tuple(
--- a/gradehoist/history/records.py
+++ b/gradehoist/history/records.py
@@ -1,11 +1,11 @@
-"""The entries of a history and how they are stored: JSON, one entry a line.
+"""The entries of a history and the files in which they are stored, as JSON with one entry per line.
 
-Times are microseconds of the machine's monotonic clock, which all its processes share. An invocation without
-a completion is one whose process ended first: its outcome is unknown. A history is bounded: past
-`MAX_ENTRIES` a last entry says so, and a checker that meets it gives no verdict.
+Times are microseconds of the machine's monotonic clock, which all its processes share. An invocation has no
+completion if its process ended before the response; its outcome is unknown. The number of entries is bounded
+by `MAX_ENTRIES`. A history that reaches the bound ends with a special entry, and is not checked.
 
-The encoded field names and tags are stored data; where a field is named otherwise here, its encoded name is
-pinned.
+The encoded field names and tags are stored data. A field whose encoded name differs from its name here has an
+explicit `name`.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from gradehoist.clock import monotonic_us
 
 MAX_ENTRIES = 1_000_000
-"""Entries of one writer: bounds the disk that a run can fill."""
+"""Most entries of one writer, which bounds the disk space that a run can use."""
 
 
 class StoreCall(Enum):
-    """A kind of call that a history holds; the values are stored."""
+    """A kind of call in a history. The values are stored."""
 
     COMMIT = "commit"
     READ = "read"
@@ -34,20 +34,20 @@
 
 
 class CallOutcome(Enum):
-    """How a call completed; the values are stored."""
+    """How a call completed. The values are stored."""
 
     COMMITTED = "done"
     REJECTED = "refused"
     READ = "read"
     WATCHED = "watched"
     FAILED = "none"
-    """Nothing took place."""
+    """The call had no effect."""
     UNKNOWN = "unknown"
-    """It may have taken place, may still do so, or never will."""
+    """The call may have taken effect, may still take effect, or never will."""
 
 
 class RequestedChange(msgspec.Struct, frozen=True):
-    """A change that a commit requests, against the version that it has to find."""
+    """A change that a commit requests, and the version that the record has to have."""
 
     key: str
     expected_version: int = msgspec.field(name="expect")
@@ -56,7 +56,7 @@
 
 
 class ObservedRecord(msgspec.Struct, frozen=True):
-    """A record as a response showed it; version 0 is one that did not exist."""
+    """A record in a response. Version 0 means that it did not exist."""
 
     key: str
     version: int
@@ -64,7 +64,7 @@
 
 
 class Invocation(msgspec.Struct, frozen=True, tag="asked"):
-    """A process sends a call to the store; `call_id` is unique within the process."""
+    """A process sent a call to the store. `call_id` is unique within the process."""
 
     time_us: int = msgspec.field(name="t")
     process: str = msgspec.field(name="by")
@@ -77,7 +77,7 @@
 
 
 class Completion(msgspec.Struct, frozen=True, tag="answered"):
-    """A process has the response to a call, or its failure."""
+    """A process received the response to a call, or the call failed."""
 
     time_us: int = msgspec.field(name="t")
     process: str = msgspec.field(name="by")
@@ -88,7 +88,7 @@
 
 
 class Effect(msgspec.Struct, frozen=True, tag="effect"):
-    """`process` took the effect `item` under a fencing token; its entries are in the order of its effects."""
+    """`process` applied the effect `item` under a fencing token. Entries are in the order of effects."""
 
     time_us: int = msgspec.field(name="t")
     process: str = msgspec.field(name="by")
@@ -100,7 +100,7 @@
 
 
 class RejectedEffect(msgspec.Struct, frozen=True, tag="turned"):
-    """`process` rejected an effect, because it knew `highest_generation` of the resource."""
+    """`process` rejected an effect because it knew of `highest_generation` of the resource."""
 
     time_us: int = msgspec.field(name="t")
     process: str = msgspec.field(name="by")
@@ -121,7 +121,7 @@
 
 
 class HistoryTruncated(msgspec.Struct, frozen=True, tag="cut"):
-    """The writer reached its bound: what came later is not in the history."""
+    """The writer reached its bound. Later entries are missing."""
 
     time_us: int = msgspec.field(name="t")
     process: str = msgspec.field(name="by")
@@ -131,29 +131,30 @@
 
 
 class HistoryError(Exception):
-    """Base error of the package."""
+    """Base class of the package's errors."""
 
 
 class IncompleteHistoryError(HistoryError):
-    """A history allows no verdict: it reached its bound, or holds a line that is no entry."""
+    """A history can't be checked, because it reached its bound or contains a malformed line."""
 
 
 class HistoryWriter:
-    """Appends entries to a file, each at once: what a killed process had done has to be there.
+    """Appends entries to a file.
 
-    Entries that a full disk does not take are kept and written before the next one. If the process is killed
-    meanwhile, its history has invocations without a completion, which is in order.
+    Each entry is written at once, so that the history of a process that is killed contains all that it has
+    done. If the disk is full, entries are kept in memory and written before the next one. If the process is
+    killed meanwhile, its history contains invocations without a completion, which checkers accept.
     """
 
     def __init__(self, path: Path, process: str, max_entries: int = MAX_ENTRIES) -> None:
-        """Opens `path` for appending; it is created if need be."""
+        """Opens `path` for appending, and creates the file if it does not exist."""
         self.process = process
         self._entries_left = max_entries
         self._unwritten = b""
         self._file = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
 
     def __call__(self, entry: HistoryEntry) -> None:
-        """Appends an entry; the last one that the bound admits is replaced by `HistoryTruncated`."""
+        """Appends an entry. The last entry within the bound is replaced by `HistoryTruncated`."""
         if self._entries_left <= 0:
             return
         self._entries_left -= 1
@@ -171,14 +172,15 @@
 
 
 def load_history(paths: Iterable[Path]) -> list[HistoryEntry]:
-    """All entries of some files by time. Raises IncompleteHistoryError.
+    """Returns the entries of all files in order of time. Raises IncompleteHistoryError.
 
-    A last line that was cut off, as by a kill, is left out.
+    If the last line of a file is incomplete, as it may be after a kill, it is left out.
     """
     entries: list[HistoryEntry] = []
     for path in paths:
         entries += _load_file(path)
-    return sorted(entries, key=lambda entry: entry.time_us)  # stable: each process' own order stays
+    # The sort is stable, so the order of each process' own entries is kept.
+    return sorted(entries, key=lambda entry: entry.time_us)
 
 
 def _load_file(path: Path) -> list[HistoryEntry]:
