--- a/tests/support/simulated_store.py
+++ b/tests/support/simulated_store.py
@@ -1,4 +1,4 @@
-"""A coordination store in memory whose faults and guards a test chooses."""
+"""An in-memory coordination store, for which a test chooses faults and disables guards."""
 
 from __future__ import annotations
 
@@ -39,7 +39,10 @@
 
 
 class Guard(Enum):
-    """A guard that a test may take out, to see that a checker finds it; named as in the scenario files."""
+    """A guard that a test can disable to make sure that a checker detects what the guard prevents.
+
+    The values are those of the scenario files.
+    """
 
     TOKEN_AT_EFFECT = "generation at the effect"
     VERSION_AT_COMMIT = "version at the commit"
@@ -49,22 +52,38 @@
 
 @dataclass
 class Faults:
-    """Shares of the calls that a fault strikes; `max_delay_us` bounds the way of a request or response."""
+    """The faults of the store.
+
+    Attributes:
+        lost_responses: Share of requests whose response is lost.
+        lost_requests: Share of requests that are lost.
+        stale_reads: Share of full reads that return an older revision.
+        repeated_events: Share of watches that repeat changes.
+        broken_watches: Share of watches that fail.
+        is_unreachable: Whether the store can't be reached. It expires no sessions meanwhile.
+        is_full: Whether the store has no space left.
+        max_delay_us: Longest delay of a request or a response.
+    """
 
     lost_responses: float = 0.0
     lost_requests: float = 0.0
     stale_reads: float = 0.0
     repeated_events: float = 0.0
     broken_watches: float = 0.0
-    is_away: bool = False
+    is_unreachable: bool = False
     is_full: bool = False
     max_delay_us: int = SECOND_US // 50
 
 
 class SimulatedStore:
-    """Performs operations on a keyspace at once; watches wait until something changes.
+    """Performs operations on a keyspace at once, except for watches, which wait for a change.
 
-    `wake_watch` is called with the retry of each waiting watch after a change.
+    After each change, `wake_watch` is called with the retry of each waiting watch.
+
+    Attributes:
+        keyspace: The records and sessions of the store.
+        faults: The faults in force.
+        connection_epoch: Number of restores. A response is lost if the store was restored after the request.
     """
 
     def __init__(
@@ -75,7 +94,7 @@
     ) -> None:
         self.keyspace = Keyspace()
         self.faults = Faults()
-        self.connection_epoch = 0  # responses do not cross a restore
+        self.connection_epoch = 0
         self._random = random_numbers
         self._wake_watch = wake_watch
         self._disabled_guard = disabled_guard
@@ -84,7 +103,10 @@
     def perform(
         self, now_us: int, operation: Operation, retry: Callable[[], None]
     ) -> Response | CoordinationError | None:
-        """The response or the error; None for a watch that waits: `retry` is called after the next change."""
+        """Returns the response or the error, or None for a watch that waits.
+
+        For a watch that waits, `retry` is called after the next change.
+        """
         match operation:
             case ReadRecords(prefix):
                 return self._read(prefix)
@@ -93,10 +115,10 @@
             case OpenSession(ttl_us):
                 return str(self.keyspace.grant_lease(now_us, ttl_us))
             case RenewSession(session_id):
-                lives = self.keyspace.renew_lease(now_us, int(session_id))
-                if lives or self._disabled_guard is Guard.SESSIONS_STAY_ENDED:
+                is_renewed = self.keyspace.renew_lease(now_us, int(session_id))
+                if is_renewed or self._disabled_guard is Guard.SESSIONS_STAY_ENDED:
                     return self.keyspace.revision
-                return SessionEndedError("ended")
+                return SessionEndedError("session has ended")
             case EndSession(session_id):
                 self.keyspace.revoke_lease(int(session_id))
                 self._wake_watches()
@@ -105,8 +127,8 @@
                 return self._watch(prefix, after_revision, retry)
 
     def expire_sessions(self, now_us: int) -> None:
-        """Ends sessions that were not renewed in time; a store that is away ends none."""
-        if self.faults.is_away:
+        """Ends sessions that were not renewed in time. A store that is unreachable ends none."""
+        if self.faults.is_unreachable:
             return
         revision = self.keyspace.revision
         self.keyspace.expire_leases(now_us)
@@ -114,12 +136,12 @@
             self._wake_watches()
 
     def write_directly(self, key: bytes, value: bytes) -> None:
-        """Writes bytes past the interface, as another program might."""
+        """Writes bytes without the interface, as another program might do."""
         self.keyspace.write([(key, value, 0)], [])
         self._wake_watches()
 
     def restore(self, now_us: int, snapshot: Keyspace) -> None:
-        """Puts an older snapshot back: connections are cut, sessions have their whole time again."""
+        """Rolls the store back to a snapshot. This closes connections and renews all sessions."""
         self.keyspace = snapshot.snapshot()
         self.connection_epoch += 1
         self.keyspace.extend_leases(now_us)
@@ -153,7 +175,7 @@
             found = [entry for change in changes for entry in self.keyspace.read_range(change.key.encode())]
             return CommitRejected(self.keyspace.revision, tuple(_to_record(entry) for entry in found))
         if self.faults.is_full:
-            return StoreFullError("no room")
+            return StoreFullError("no space left")
         commit_id = commit.commit_id.encode()
         puts = [
             (change.key.encode(), commit_id + b"\0" + change.value, int(change.session_id or "0"))
@@ -164,7 +186,7 @@
         try:
             revision = self.keyspace.write(puts, deletes)
         except LeaseNotFoundError:
-            return SessionEndedError("no such session")
+            return SessionEndedError("session does not exist")
         self._wake_watches()
         return Committed(revision)
 
@@ -172,7 +194,7 @@
         self, prefix: str, after_revision: int, retry: Callable[[], None]
     ) -> WatchBatch | CoordinationError | None:
         if self._random.random() < self.faults.broken_watches:
-            return StoreUnavailableError("cut")
+            return StoreUnavailableError("watch connection lost")
         if self._random.random() < self.faults.repeated_events:
             after_revision = max(self.keyspace.compacted_revision, after_revision - 3)
         try:
@@ -180,7 +202,7 @@
                 after_revision + 1, prefix.encode(), prefix.encode() + b"\xff"
             )
         except RevisionCompactedError:
-            return HistoryCompactedError("gone")
+            return HistoryCompactedError("history is compacted")
         if not changes and self.keyspace.revision >= after_revision:
             self._waiting_watches.append(retry)
             return None
--- a/tests/support/store_simulation.py
+++ b/tests/support/store_simulation.py
@@ -1,4 +1,4 @@
-"""Participants over a simulated store under a virtual clock, with faults that follow from a seed."""
+"""Simulates participants and their coordination store with a virtual clock and seeded faults."""
 
 from __future__ import annotations
 
@@ -30,49 +30,75 @@
 SESSION_TTL_US = 6 * SECOND_US
 RESOURCE = "job"
 COUNTER_KEY = "counter"
-SHORTEST_STEP_US = 1_000
-LONGEST_STEP_US = SECOND_US // 4
+MIN_STEP_INTERVAL_US = 1_000
+MAX_STEP_INTERVAL_US = SECOND_US // 4
 
 NotificationType = TypeVar("NotificationType")
 
 
 @dataclass
 class SimulatedProcess:
-    """A process that takes part, stands for election, and may be paused at any moment."""
+    """A process that takes part in the fleet, is a candidate in an election, and may be paused at any time.
+
+    Attributes:
+        participant: The participant of the process.
+        election: Its candidacy in the election.
+        recorder: Records its calls in the history.
+        notifications: All notifications that it has received.
+        is_paused: Whether the process is paused.
+        deferred: What reached the process while it was paused.
+        increment_id: Id of the commit by which it increments the counter; empty if none is pending.
+    """
 
     participant: Participant
     election: LeaderElection
     recorder: HistoryRecorder
     notifications: list[Notification] = field(default_factory=list)
     is_paused: bool = False
-    delayed: list[Callable[[], None]] = field(default_factory=list)
-    increment_id: str = ""  # id of its increment in flight
+    deferred: list[Callable[[], None]] = field(default_factory=list)
+    increment_id: str = ""
 
     @property
     def token(self) -> FencingToken | None:
-        """What it leads under, if it believes that it leads."""
+        """The process' fencing token if it considers itself the leader, else None."""
         return self.election.fencing_token
 
-    def notified(self, kind: type[NotificationType]) -> list[NotificationType]:
-        """Its notifications of one type."""
-        return [one for one in self.notifications if isinstance(one, kind)]
+    def notifications_of(self, kind: type[NotificationType]) -> list[NotificationType]:
+        """Returns the notifications of one type."""
+        return [notification for notification in self.notifications if isinstance(notification, kind)]
 
     def outcomes_of(self, commit_id: str) -> list[CommitOutcome]:
-        """How a commit was reported to end, once for each report."""
-        return [one.outcome for one in self.notified(CommitSettled) if one.commit_id == commit_id]
+        """Returns the outcome of each notification about a commit."""
+        return [
+            settled.outcome
+            for settled in self.notifications_of(CommitSettled)
+            if settled.commit_id == commit_id
+        ]
 
 
 @dataclass
 class _Exchange:
-    """A request on its way; the first result counts."""
+    """A request of a process to the store. Only the first result is delivered."""
 
     process: SimulatedProcess
     request: StoreRequest
-    is_over: bool = False
+    is_completed: bool = False
 
 
 class StoreSimulation:
-    """Plays processes and their store; `disabled_guard` is left out, to see that a checker catches it."""
+    """Simulates processes and their store.
+
+    A test disables a guard to make sure that a checker detects what the guard prevents.
+
+    Attributes:
+        now_us: The virtual time.
+        random: The generator of all random choices.
+        store: The simulated store.
+        entries: The history of all processes and of the receiver of effects.
+        fence: The fence of the receiver of effects.
+        request_counts: Number of requests that were sent, by type of operation.
+        processes: The processes that exist from the start.
+    """
 
     def __init__(self, seed: int, process_count: int = 3, disabled_guard: Guard | None = None) -> None:
         self.now_us = 0
@@ -103,14 +129,14 @@
 
     @property
     def leaders(self) -> list[SimulatedProcess]:
-        """Processes that believe they lead and may act."""
+        """The processes that consider themselves the leader and have joined."""
         return [
             process
             for process in self.processes
             if process.token is not None and process.participant.is_joined
         ]
 
-    # Time
+    # Virtual time
 
     def schedule(self, delay_us: int, action: Callable[[], None]) -> None:
         self._scheduled_count += 1
@@ -144,9 +170,9 @@
         return process
 
     def step(self, process: SimulatedProcess) -> None:
-        """One turn of a process; the next comes when something is due."""
+        """Runs one step of a process, and schedules the next one for when a request is due."""
         if process.is_paused:
-            process.delayed.append(lambda: self.step(process))
+            process.deferred.append(lambda: self.step(process))
             return
         participant = process.participant
         for request in participant.take_due_requests(self.now_us):
@@ -155,32 +181,34 @@
             self._notify(process, notification)
         process.election.advance(self.now_us, participant)
         wait_us = participant.next_request_at_us(self.now_us) - self.now_us
-        self.schedule(max(SHORTEST_STEP_US, min(LONGEST_STEP_US, wait_us)), lambda: self.step(process))
+        self.schedule(
+            max(MIN_STEP_INTERVAL_US, min(MAX_STEP_INTERVAL_US, wait_us)), lambda: self.step(process)
+        )
 
     def pause(self, process: SimulatedProcess) -> None:
         """Suspends a process as SIGSTOP does."""
         process.is_paused = True
 
     def resume(self, process: SimulatedProcess) -> None:
-        """Lets a process go on, with all that reached it meanwhile."""
+        """Resumes a paused process, which then handles everything that reached it while it was paused."""
         process.is_paused = False
-        delayed = process.delayed
-        process.delayed = []
-        for action in delayed:
+        deferred = process.deferred
+        process.deferred = []
+        for action in deferred:
             self.schedule(0, action)
 
     def act_as_leader(self, process: SimulatedProcess, duration_us: int = 0) -> None:
-        """Starts a leader's step: it looks at its token now, the effect is taken `duration_us` later."""
+        """Starts a step of a leader: it reads its token now, and its effect arrives `duration_us` later."""
         token = process.token
         if process.is_paused or token is None or not process.participant.is_joined:
             return
         self._item_count += 1
         item = f"{process.participant.identity.incarnation}:{self._item_count}"
         delay_us = duration_us + self.random.randrange(1, self.faults.max_delay_us + 1)
-        self.schedule(delay_us, lambda: self._take_effect(process, token, item))
+        self.schedule(delay_us, lambda: self._receive_effect(process, token, item))
 
     def increment_counter(self, process: SimulatedProcess) -> None:
-        """Adds one to a record that all processes write."""
+        """Proposes to increment a counter that all processes write."""
         participant = process.participant
         if not participant.cache.is_loaded or process.increment_id or process.is_paused:
             return
@@ -188,7 +216,7 @@
         process.increment_id = participant.propose(participant.build_put(COUNTER_KEY, count + 1))
 
     def restore_snapshot(self, snapshot: Keyspace) -> None:
-        """Puts an older snapshot of the store back."""
+        """Rolls the store back to an older snapshot."""
         self.store.restore(self.now_us, snapshot)
 
     def _notify(self, process: SimulatedProcess, notification: Notification) -> None:
@@ -198,12 +226,12 @@
             if notification.commit_id == process.increment_id:
                 process.increment_id = ""
 
-    def _take_effect(self, process: SimulatedProcess, token: FencingToken, item: str) -> None:
+    def _receive_effect(self, process: SimulatedProcess, token: FencingToken, item: str) -> None:
         if process.is_paused:
-            process.delayed.append(lambda: self._take_effect(process, token, item))
+            process.deferred.append(lambda: self._receive_effect(process, token, item))
             return
         decision = self.fence.present(RESOURCE, token)
-        if decision.rejected_by is not None and not self._admits_unfenced(process):
+        if decision.rejected_by is not None and not self._accepts_rejected_effect(process):
             process.election.on_token_rejected(process.participant, decision.rejected_by)
             return
         self.fence = decision.fence
@@ -218,16 +246,16 @@
             )
         )
 
-    def _admits_unfenced(self, process: SimulatedProcess) -> bool:
+    def _accepts_rejected_effect(self, process: SimulatedProcess) -> bool:
         if self._disabled_guard is Guard.TOKEN_AT_EFFECT:
             return True
-        # Whoever trusts a session asks whether it lives, and believes its holder.
+        # Without this guard, a receiver that relies on sessions accepts every process that has one.
         return self._disabled_guard is Guard.SESSIONS_STAY_ENDED and process.participant.session_id != ""
 
     # Requests and responses
 
     def send(self, process: SimulatedProcess, request: StoreRequest) -> None:
-        """Sends a request to the store; its result is delivered once, or it times out."""
+        """Sends a request to the store. Either its result is delivered once, or the request times out."""
         self.request_counts[type(request.operation)] += 1
         process.recorder.record_invocation(request)
         request_delay_us = self._delay_us()
@@ -238,14 +266,14 @@
         exchange = _Exchange(process, request)
 
         def is_disconnected() -> bool:
-            return self.faults.is_away or epoch != self.store.connection_epoch
+            return self.faults.is_unreachable or epoch != self.store.connection_epoch
 
         def time_out() -> None:
-            self._deliver(exchange, failure_without_response(request.operation, "no answer"))
+            self._deliver(exchange, failure_without_response(request.operation, "request timed out"))
 
         def arrive() -> None:
             if is_disconnected():
-                error = StoreUnavailableError("away")
+                error = StoreUnavailableError("store is unreachable")
                 self.schedule(response_delay_us, lambda: self._deliver(exchange, error))
                 return
             result = self.store.perform(self.now_us, request.operation, arrive)
@@ -271,11 +299,11 @@
     def _deliver(self, exchange: _Exchange, result: Response | CoordinationError) -> None:
         process = exchange.process
         if process.is_paused:
-            process.delayed.append(lambda: self._deliver(exchange, result))
+            process.deferred.append(lambda: self._deliver(exchange, result))
             return
-        if exchange.is_over:
+        if exchange.is_completed:
             return
-        exchange.is_over = True
+        exchange.is_completed = True
         process.recorder.record_completion(exchange.request, result)
         request_id = exchange.request.request_id
         if isinstance(result, CoordinationError):
@@ -285,6 +313,6 @@
 
 
 def no_changes(watch: WatchChanges) -> WatchBatch:
-    """The response to a watch whose wait ran out."""
+    """Returns the response to a watch that timed out without changes."""
     after_revision = watch.after_revision
     return WatchBatch(store_id=STORE_ID, after_revision=after_revision, revision=after_revision, events=())
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -51,7 +51,7 @@
         lost_requests=choose((0, 0.1, 0.4)),
         repeated_events=choose((0, 0.5)),
         broken_watches=choose((0, 0.3)),
-        is_away=simulation.random.random() < 0.1,
+        is_unreachable=simulation.random.random() < 0.1,
         max_delay_us=choose((SECOND_US // 50, SECOND_US // 2, 2 * SECOND_US)),
     )
 
@@ -110,7 +110,7 @@
         violations[disabled_guard] = find_fencing_violations(simulation.entries)
         assert first.token is None
         assert first.participant.is_joined
-        assert first.notified(SessionEnded)
+        assert first.notifications_of(SessionEnded)
     assert not violations[None]
     assert "took effect after" in str(violations[Guard.TOKEN_AT_EFFECT][0])
 
@@ -170,7 +170,7 @@
     assert len(set(counts)) == 1
     assert counts[0] is not None
     assert counts[0] > 10
-    assert not any(process.notified(ProcessFenced) for process in simulation.processes)
+    assert not any(process.notifications_of(ProcessFenced) for process in simulation.processes)
 
 
 def test_rollback_fences_all_and_generations_continue_above_those_known() -> None:
@@ -194,7 +194,7 @@
     simulation.run_for(30)
 
     for process in simulation.processes:
-        assert len(process.notified(ProcessFenced)) == 1
+        assert len(process.notifications_of(ProcessFenced)) == 1
         assert process.participant.is_joined
     (leader,) = simulation.leaders
     assert leader.token is not None
@@ -228,7 +228,7 @@
     simulation.resume(first)
     simulation.run_for(20)
 
-    assert len(first.notified(ProcessFenced)) == 1
+    assert len(first.notifications_of(ProcessFenced)) == 1
     assert first.participant.is_joined
     first_count = first.participant.decode_record(COUNTER_KEY, int)
     assert first_count == third.participant.decode_record(COUNTER_KEY, int)
@@ -255,12 +255,12 @@
     simulation = StoreSimulation(9, process_count=30)
     simulation.run_for(20)
     (leader,) = simulation.leaders
-    joined_before = [len(process.notified(FleetJoined)) for process in simulation.processes]
+    joined_before = [len(process.notifications_of(FleetJoined)) for process in simulation.processes]
 
-    simulation.store.faults = Faults(is_away=True)
+    simulation.store.faults = Faults(is_unreachable=True)
     simulation.run_for(240)
     for process in simulation.processes:
-        assert process.notified(SessionSuspended)
+        assert process.notifications_of(SessionSuspended)
         assert not process.participant.is_joined
     requests_before = simulation.request_counts.total()
     simulation.run_for(10)
@@ -278,7 +278,7 @@
     assert joined_counts[-1] == 30
     assert joined_counts[9] < 15  # over seconds, not at once
     assert simulation.request_counts[ReadRecords] == reads_before  # watches go on from where they were
-    assert [len(process.notified(FleetJoined)) for process in simulation.processes] == joined_before
+    assert [len(process.notifications_of(FleetJoined)) for process in simulation.processes] == joined_before
     assert simulation.leaders == [leader]
 
 
@@ -308,11 +308,11 @@
     simulation.run_for(30)
     assert twin.participant.is_joined
     assert not first.participant.is_joined
-    assert len(first.notified(ProcessSuperseded)) == 1
+    assert len(first.notifications_of(ProcessSuperseded)) == 1
 
     simulation.run_for(60)
     assert twin.participant.is_joined
-    assert len(first.notified(ProcessSuperseded)) == 1
+    assert len(first.notifications_of(ProcessSuperseded)) == 1
 
 
 def test_full_store_rejects_commits_and_what_stands_goes_on() -> None:
@@ -323,8 +323,8 @@
     simulation.store.faults = Faults(is_full=True)
     simulation.increment_counter(process)
     simulation.run_for(10)
-    assert process.notified(CommitSettled)[-1].outcome is CommitOutcome.STORE_FULL
-    assert process.notified(StoreCapacityExhausted)
+    assert process.notifications_of(CommitSettled)[-1].outcome is CommitOutcome.STORE_FULL
+    assert process.notifications_of(StoreCapacityExhausted)
     assert process.participant.is_joined
 
     simulation.store.faults = Faults()
