--- a/tests/support/zone_fleet.py
+++ b/tests/support/zone_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of three governors, one in each zone, as processes, with proxies that report what they meet."""
+"""A fleet of three governor processes, one in each zone, with simulated proxies that send load reports."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     'coordination folder="register" session="2s" lost="1s" contact="200ms" hold="4s" fall="2s" {\n'
     '        zones settle="1s" well="3s" longest="60s"\n    }'
 )
-EXPLORATORY_SHARE = 0.02  # of an evacuated zone's traffic, as the status shows it
+# Share of an evacuated zone's traffic that is still sent there, as the status shows it.
+EXPLORATORY_SHARE = 0.02
 
 
 def zone_of(replica: str) -> str:
@@ -30,26 +31,26 @@
 
 
 class ReportingProxy(Relay):
-    """A proxy that reports what it meets: in failing zones every attempt fails.
+    """A proxy that sends load reports, in which all attempts in the fleet's failing zones fail.
 
-    One whose network is cut sees every attempt fail outside its own zone.
+    If the proxy is partitioned, all attempts outside its own zone fail, too.
     """
 
-    REQUESTS = 60  # in each load report
+    REQUESTS_PER_REPORT = 60
     REPORT_INTERVAL_S = 0.25
 
     def __init__(self, port: int, name: str, zone: str, fleet: ZoneFleet) -> None:
         super().__init__(port, name, zone=zone)
         self.fleet = fleet
-        self.is_network_cut = False
+        self.is_partitioned = False
         self.reporting = asyncio.ensure_future(self._report())
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.task.cancel()
         self.reporting.cancel()
 
     def zone_shares(self) -> dict[str, float]:
-        """The share of its traffic that goes to each zone."""
+        """Returns the share of the proxy's traffic that is sent to each zone."""
         weights = self.holdings.weights_for("read")
         total = sum(weights.values()) or 1.0
         shares = dict.fromkeys(ZONES, 0.0)
@@ -59,45 +60,52 @@
 
     async def _report(self) -> None:
         client = HttpClient(LOCAL, self.port)
-        fractions = dict[str, float]()  # of attempts that were not made yet, by replica
+        remainders = dict[str, float]()  # fractions of an attempt that are carried over, by replica
         while True:
             await asyncio.sleep(self.REPORT_INTERVAL_S)
             report = feed.ProxyLoadReport(
                 self.name,
                 self.epoch,
                 int(self.REPORT_INTERVAL_S * 1e6),
-                tuple(self._attempts(fractions)),
-                (feed.ClassRequests("read", self.REQUESTS),),
+                tuple(self._attempts(remainders)),
+                (feed.ClassRequests("read", self.REQUESTS_PER_REPORT),),
             )
             with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError):
                 await client.request("POST", "/v1/sums", msgspec.json.encode(report), timeout_s=1.0)
 
-    def _attempts(self, fractions: dict[str, float]) -> list[feed.ReplicaAttempts]:
+    def _attempts(self, remainders: dict[str, float]) -> list[feed.ReplicaAttempts]:
         weights = self.holdings.weights_for("read")
         total = sum(weights.values())
         rows = []
         for replica, weight in weights.items():
-            sent = self.REQUESTS * weight / total
-            fractions[replica] = fractions.get(replica, 0.0) + sent
-            attempts = int(fractions[replica])
-            fractions[replica] -= attempts
+            expected_attempts = self.REQUESTS_PER_REPORT * weight / total
+            remainders[replica] = remainders.get(replica, 0.0) + expected_attempts
+            attempts = int(remainders[replica])
+            remainders[replica] -= attempts
             zone = zone_of(replica)
-            is_failing = zone in self.fleet.failing_zones or (self.is_network_cut and zone != self.zone)
-            busy = self.fleet.busy_share(replica, self.name, sent)
+            is_failing = zone in self.fleet.failing_zones or (self.is_partitioned and zone != self.zone)
+            busy_share = self.fleet.compute_busy_share(replica, self.name, expected_attempts)
             rows.append(
                 feed.ReplicaAttempts(
-                    replica, attempts, attempts if is_failing else 0, 100_000, busy, 4 * busy, 50.0
+                    replica,
+                    attempts,
+                    attempts if is_failing else 0,
+                    100_000,
+                    busy_share,
+                    4 * busy_share,
+                    50.0,
                 )
             )
         return rows
 
 
 class ZoneFleet:
-    """Governors, proxies and endpoint list over one coordination store in a folder."""
+    """Governors that share a coordination store in a folder, their proxies and an endpoint list service."""
 
     def __init__(self, folder: Path) -> None:
         self.failing_zones = set[str]()
-        self._sent = dict[str, dict[str, float]]()  # attempts of a report, by replica and proxy
+        # The attempts per load report, by replica and by proxy.
+        self._attempts_by_replica = dict[str, dict[str, float]]()
         self.endpoint_list = Roster(0)
         for number in range(REPLICA_COUNT):
             record = msgspec.structs.replace(entry(number), zone=ZONES[number % len(ZONES)])
@@ -119,41 +127,41 @@
         )
         return text[: text.index('governor "a"')] + governors
 
-    def busy_share(self, replica: str, proxy: str, attempts: float) -> float:
-        """A replica's busy share by what all proxies send it: 0.55 where they spread evenly.
+    def compute_busy_share(self, replica: str, proxy: str, attempts: float) -> float:
+        """Returns a replica's busy share, in proportion to the attempts of all proxies.
 
-        With one that was always the same the policy never learnt that a replica was idle, and a zone that had
-        failed for long got little for good.
+        The busy share is 0.55 if the traffic is spread evenly. With a constant busy share the policy did not
+        notice idle replicas, and a zone that had failed for a long time permanently got too little traffic.
         """
-        self._sent.setdefault(replica, {})[proxy] = attempts
-        even = ReportingProxy.REQUESTS * len(self.proxies) / REPLICA_COUNT
-        return min(1.0, 0.55 * sum(self._sent[replica].values()) / max(1.0, even))
+        self._attempts_by_replica.setdefault(replica, {})[proxy] = attempts
+        even_attempts = ReportingProxy.REQUESTS_PER_REPORT * len(self.proxies) / REPLICA_COUNT
+        return min(1.0, 0.55 * sum(self._attempts_by_replica[replica].values()) / max(1.0, even_attempts))
 
     async def zone_statuses(self) -> list[dict[str, Any]]:
-        """What each living governor says of the zones."""
+        """Returns the status of the zones from each governor that responds."""
 
         async def status(governor: Governor) -> dict[str, Any]:
             with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError):
-                found: dict[str, Any] = (await governor.status())["zones"]
-                return found
+                zones: dict[str, Any] = (await governor.status())["zones"]
+                return zones
             return {}
 
-        found = await asyncio.gather(*(status(governor) for governor in self.governors))
-        return [zones for zones in found if zones]
+        statuses = await asyncio.gather(*(status(governor) for governor in self.governors))
+        return [zones for zones in statuses if zones]
 
     async def leaders(self) -> list[Governor]:
-        """The governors that say they lead the zones' election."""
+        """Returns the governors that consider themselves the leader of the election for the zones."""
         return [g for g in self.governors if "zones" in (await g.status())["fleet"]["rights"]]
 
-    async def until(self, condition: Callable[[], Awaitable[bool]], seconds: float = 40.0) -> None:
-        end = asyncio.get_running_loop().time() + seconds
+    async def wait_until(self, condition: Callable[[], Awaitable[bool]], seconds: float = 40.0) -> None:
+        deadline = asyncio.get_running_loop().time() + seconds
         while not await condition():
             logs = [governor.log.read_text()[-1500:] for governor in self.governors]
-            assert asyncio.get_running_loop().time() < end, (await self.zone_statuses(), logs)
+            assert asyncio.get_running_loop().time() < deadline, (await self.zone_statuses(), logs)
             await asyncio.sleep(0.1)
 
-    async def until_ready(self) -> None:
-        """Wait until every governor has its quota and sees all zones healthy."""
+    async def wait_until_ready(self) -> None:
+        """Waits until every governor has its quota and observes all zones as healthy."""
 
         async def is_ready() -> bool:
             statuses = await self.zone_statuses()
@@ -165,38 +173,38 @@
                 and all(states <= {"well"} for states in observed)
             )
 
-        await self.until(is_ready)
+        await self.wait_until(is_ready)
 
-    async def until_evacuated(self, zone: str) -> None:
-        """Wait until every governor leaves it only exploratory traffic."""
+    async def wait_until_evacuated(self, zone: str) -> None:
+        """Waits until every governor sends only exploratory traffic to the zone."""
 
         async def is_evacuated() -> bool:
             return all(s["in_force"].get(zone) == EXPLORATORY_SHARE for s in await self.zone_statuses())
 
-        await self.until(is_evacuated)
+        await self.wait_until(is_evacuated)
 
-    async def until_own_share(
+    async def wait_for_own_zone_share(
         self, zone: str, condition: Callable[[float], bool], seconds: float = 40.0
     ) -> None:
-        """Wait until the share that a zone's proxies send to their own zone meets a condition."""
+        """Waits until the share of traffic that a zone's proxies send to their own zone meets a condition."""
 
         async def is_met() -> bool:
             return all(condition(p.zone_shares()[zone]) for p in self.proxies if p.zone == zone)
 
-        await self.until(is_met, seconds)
+        await self.wait_until(is_met, seconds)
 
     def kill(self, governor: Governor) -> None:
-        """Kill a governor; its proxies join another one."""
+        """Kills a governor. Its proxies connect to another one."""
         governor.kill()
         self.governors.remove(governor)
         for index, proxy in enumerate(self.proxies):
             if proxy.port == governor.port:
-                proxy.end()
+                proxy.stop()
                 self.proxies[index] = ReportingProxy(self.governors[0].port, proxy.name, proxy.zone, self)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for proxy in self.proxies:
-            proxy.end()
+            proxy.stop()
         for governor in self.governors:
             governor.kill()
         self.endpoint_list.server.abort()
@@ -213,17 +221,17 @@
             for governor, zone in zip(fleet.governors, ZONES, strict=True)
             for number in (0, 1)
         ]
-        await fleet.until_ready()
+        await fleet.wait_until_ready()
         yield fleet
     finally:
-        fleet.end()
+        fleet.stop()
 
 
-def run_zone_fleet(folder: Path, work: Callable[[ZoneFleet], Awaitable[None]]) -> None:
-    """Run a fleet that is ready while `work` does."""
+def run_zone_fleet(folder: Path, steps: Callable[[ZoneFleet], Awaitable[None]]) -> None:
+    """Starts a fleet, waits until it is ready, runs the steps of a test, and stops the fleet."""
 
     async def run() -> None:
         async with zone_fleet(folder) as fleet:
-            await work(fleet)
+            await steps(fleet)
 
     asyncio.run(asyncio.wait_for(run(), 150))
--- a/tests/test_fleet_zones.py
+++ b/tests/test_fleet_zones.py
@@ -1,4 +1,4 @@
-"""Governors, as processes, that evacuate a zone and take it back together while faults are injected."""
+"""Governor processes that evacuate a zone and recover it together while faults are injected."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from tests.support.zone_fleet import EXPLORATORY_SHARE, ZoneFleet, run_zone_fleet
 
 
-def test_a_failing_zone_is_evacuated_and_recovers_though_the_leader_dies(tmp_path: Path) -> None:
-    async def work(fleet: ZoneFleet) -> None:
-        await fleet.until_own_share("x", lambda share: share > 0.8)
+def test_a_failing_zone_is_evacuated_and_recovers_although_the_leader_is_killed(tmp_path: Path) -> None:
+    async def steps(fleet: ZoneFleet) -> None:
+        await fleet.wait_for_own_zone_share("x", lambda share: share > 0.8)
         fleet.failing_zones.add("x")
 
         async def has_begun() -> bool:
             return any(s["zones"].get("x", 1.0) < 1.0 for s in await fleet.zone_statuses())
 
-        await fleet.until(has_begun)
+        await fleet.wait_until(has_begun)
         (leader,) = await fleet.leaders()
         fleet.kill(leader)
 
@@ -28,11 +28,12 @@
                 for s in await fleet.zone_statuses()
             )
 
-        await fleet.until(is_evacuated)
-        await fleet.until_own_share("x", lambda share: share < 0.1)
+        await fleet.wait_until(is_evacuated)
+        await fleet.wait_for_own_zone_share("x", lambda share: share < 0.1)
         plans = {tuple(s["plan"]) for s in await fleet.zone_statuses()}
         assert len(plans) == 1
-        assert min(plans)[0] >= 2  # the next leader's own generation
+        # The plan has the generation of the next leader.
+        assert min(plans)[0] >= 2
         fleet.failing_zones.clear()
 
         async def has_recovered() -> bool:
@@ -40,60 +41,61 @@
                 s["zones"].get("x", 1.0) == 1.0 and not s["in_force"] for s in await fleet.zone_statuses()
             )
 
-        await fleet.until(has_recovered, 60)
-        # By the ordinary tables again, which know two governors.
-        await fleet.until_own_share("x", lambda share: share > 0.3)
+        await fleet.wait_until(has_recovered, 60)
+        # The ordinary tables are in force again. They are made for the two governors that are left.
+        await fleet.wait_for_own_zone_share("x", lambda share: share > 0.3)
 
-    run_zone_fleet(tmp_path, work)
+    run_zone_fleet(tmp_path, steps)
 
 
-def test_a_governor_that_alone_sees_zones_fail_moves_no_traffic(tmp_path: Path) -> None:
-    async def work(fleet: ZoneFleet) -> None:
+def test_a_governor_that_alone_observes_failing_zones_moves_no_traffic(tmp_path: Path) -> None:
+    async def steps(fleet: ZoneFleet) -> None:
         for proxy in fleet.proxies:
-            proxy.is_network_cut = proxy.zone == "x"
+            proxy.is_partitioned = proxy.zone == "x"
         for _ in range(30):
             await asyncio.sleep(0.3)
             statuses = await fleet.zone_statuses()
             assert all(not s["in_force"] and s["zones"].get("y", 1.0) == 1.0 for s in statuses)
         assert any(s["seen"] for s in await fleet.zone_statuses())
 
-    run_zone_fleet(tmp_path, work)
+    run_zone_fleet(tmp_path, steps)
 
 
 def test_without_the_store_the_agreed_limits_are_held_then_relaxed_and_restored(tmp_path: Path) -> None:
-    async def work(fleet: ZoneFleet) -> None:
+    async def steps(fleet: ZoneFleet) -> None:
         fleet.failing_zones.add("x")
-        await fleet.until_evacuated("x")
+        await fleet.wait_until_evacuated("x")
         store = tmp_path / "register"
-        store.rename(tmp_path / "aside")
-        store.write_text("in the way")
+        # A file in place of the store's folder makes the store unavailable.
+        store.rename(tmp_path / "renamed")
+        store.write_text("not a folder")
         await asyncio.sleep(3.0)
         assert all(s["in_force"].get("x") == 0.02 for s in await fleet.zone_statuses())
 
         async def is_relaxed() -> bool:
             return all(not s["in_force"] for s in await fleet.zone_statuses())
 
-        await fleet.until(is_relaxed)
+        await fleet.wait_until(is_relaxed)
         store.unlink()
-        (tmp_path / "aside").rename(store)
-        await fleet.until_evacuated("x")
+        (tmp_path / "renamed").rename(store)
+        await fleet.wait_until_evacuated("x")
 
-    run_zone_fleet(tmp_path, work)
+    run_zone_fleet(tmp_path, steps)
 
 
-def test_a_stopped_governor_holds_a_step_up_only_until_its_session_ends(tmp_path: Path) -> None:
-    async def work(fleet: ZoneFleet) -> None:
-        stopped = next(iter(set(fleet.governors) - set(await fleet.leaders())))
-        os.kill(stopped.process.pid, signal.SIGSTOP)
+def test_a_suspended_governor_delays_a_step_only_until_its_session_ends(tmp_path: Path) -> None:
+    async def steps(fleet: ZoneFleet) -> None:
+        suspended = next(iter(set(fleet.governors) - set(await fleet.leaders())))
+        os.kill(suspended.process.pid, signal.SIGSTOP)
         fleet.failing_zones.add("x")
-        others = [governor for governor in fleet.governors if governor is not stopped]
+        others = [governor for governor in fleet.governors if governor is not suspended]
 
         async def others_evacuated() -> bool:
             statuses = [(await governor.status())["zones"] for governor in others]
             return all(status["in_force"].get("x") == 0.02 for status in statuses)
 
-        await fleet.until(others_evacuated)
-        os.kill(stopped.process.pid, signal.SIGCONT)
-        await fleet.until_evacuated("x")
+        await fleet.wait_until(others_evacuated)
+        os.kill(suspended.process.pid, signal.SIGCONT)
+        await fleet.wait_until_evacuated("x")
 
-    run_zone_fleet(tmp_path, work)
+    run_zone_fleet(tmp_path, steps)
