--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of processes for tests: actors over one coordination store, and a ledger that takes effects."""
+"""A test fleet of processes: actors that share a coordination store, and a ledger for their effects."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ProcessHandle:
-    """One process that a test starts, signals and asks."""
+    """A process that a test starts, sends signals to, and reads the status of."""
 
     def __init__(self, folder: Path, spec: ProcessSpec) -> None:
         self.spec = spec
@@ -44,16 +44,16 @@
             )
 
     async def status(self) -> dict[str, Any]:
-        """Empty while it does not answer."""
+        """Returns the status, which is empty while the process does not respond."""
         with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError):
             response = await self.client.request("GET", "/status", timeout_s=0.5)
             if response.status == 200:
-                found: dict[str, Any] = msgspec.json.decode(response.body, type=dict[str, Any])
-                return found
+                status: dict[str, Any] = msgspec.json.decode(response.body, type=dict[str, Any])
+                return status
         return {}
 
-    def send(self, number: int) -> None:
-        os.kill(self.process.pid, number)
+    def send_signal(self, signal_number: int) -> None:
+        os.kill(self.process.pid, signal_number)
 
     def kill(self) -> None:
         if self.process.poll() is None:
@@ -62,7 +62,7 @@
 
 
 class Fleet:
-    """Actors and a ledger; `store` is "embedded" for a folder, or "engine" for an etcd test double."""
+    """Actors and a ledger. The store is a folder ("embedded") or an etcd test double ("engine")."""
 
     def __init__(
         self,
@@ -118,14 +118,14 @@
         )
 
     async def inject_fault(self, **fault: Any) -> None:
-        """Order a fault of the etcd test double; without arguments all faults end."""
+        """Injects a fault into the etcd test double. Without arguments, all faults end."""
         await self._etcd_client.request("POST", "/fault", msgspec.json.encode(fault))
 
     async def statuses(self) -> list[dict[str, Any]]:
         return list(await asyncio.gather(*(actor.status() for actor in self.actors)))
 
     async def leader(self) -> ProcessHandle | None:
-        """The one actor that says it leads, if there is one."""
+        """Returns the actor that considers itself the leader, or None if there is not exactly one."""
         statuses = await self.statuses()
         leading = [
             actor
@@ -134,25 +134,31 @@
         ]
         return leading[0] if len(leading) == 1 else None
 
-    async def until(self, condition: Callable[[], Awaitable[Any]], seconds: float = 30.0) -> Any:
-        end = asyncio.get_running_loop().time() + seconds
-        while not (found := await condition()):
-            assert asyncio.get_running_loop().time() < end, [await self.statuses(), self.process_events()]
+    async def wait_until(self, condition: Callable[[], Awaitable[Any]], seconds: float = 30.0) -> Any:
+        deadline = asyncio.get_running_loop().time() + seconds
+        while not (result := await condition()):
+            assert asyncio.get_running_loop().time() < deadline, [
+                await self.statuses(),
+                self.process_events(),
+            ]
             await asyncio.sleep(0.05)
-        return found
+        return result
 
-    async def until_settled(self) -> None:
-        """Wait until all have joined and one leads: awaited at the end, so that nothing is stuck."""
+    async def wait_until_settled(self) -> None:
+        """Waits until all actors have joined and one is the leader.
+
+        Tests wait for this at their end to make sure that no process is stuck.
+        """
 
         async def is_settled() -> bool:
             statuses = await self.statuses()
-            all_see_all = all(
+            all_see_each_other = all(
                 status.get("joined") and status["members"].get("here", 0) >= len(statuses)
                 for status in statuses
             )
-            return all_see_all and sum(bool(status["rights"]) for status in statuses) == 1
+            return all_see_each_other and sum(bool(status["rights"]) for status in statuses) == 1
 
-        await self.until(is_settled, 60)
+        await self.wait_until(is_settled, 60)
 
     def history(self) -> list[HistoryEntry]:
         return load_history(self.folder.glob("*.jsonl"))
@@ -161,15 +167,15 @@
         return [entry for entry in self.history() if isinstance(entry, ProcessEvent)]
 
     def check_history(self) -> list[HistoryEntry]:
-        """The history, once the checkers have found nothing in it."""
+        """Checks the history for violations and returns it."""
         history = self.history()
-        not_linearizable = linearizability.find_linearizability_violations(history)
-        assert not not_linearizable, "\n".join(map(str, not_linearizable))
+        store_violations = linearizability.find_linearizability_violations(history)
+        assert not store_violations, "\n".join(map(str, store_violations))
         violations = find_fencing_violations(history) + find_duplicate_effects(history)
         assert not violations, "\n".join(map(str, violations))
         return history
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for process in (*self.actors, self.ledger):
             process.kill()
         if self.etcd is not None:
@@ -178,16 +184,16 @@
 
 
 def run_fleet(
-    folder: Path, store: str, actor_count: int, work: Callable[[Fleet], Awaitable[None]], **options: Any
+    folder: Path, store: str, actor_count: int, steps: Callable[[Fleet], Awaitable[None]], **options: Any
 ) -> Fleet:
-    """Run a fleet while `work` does; return it ended, with its history."""
+    """Starts a fleet, runs the steps of a test, stops the fleet and returns it with its history."""
 
     async def run() -> Fleet:
         fleet = Fleet(folder, store, actor_count, **options)
         try:
-            await work(fleet)
+            await steps(fleet)
         finally:
-            fleet.end()
+            fleet.stop()
         return fleet
 
     return asyncio.run(asyncio.wait_for(run(), 120))
--- a/tests/support/fleet_process.py
+++ b/tests/support/fleet_process.py
@@ -1,8 +1,9 @@
-"""A process of a fleet for tests: `python -m tests.support.fleet_process FILE`; FILE holds its `ProcessSpec`.
+"""A process of a test fleet: `python -m tests.support.fleet_process FILE`. FILE holds its `ProcessSpec`.
 
-An actor joins the coordination store and stands in an election. While it leads, it requests effects of a
-ledger, one after the other, and adds to a counter that all actors write. A ledger takes effects and persists,
-in one line with each, the fencing token that it was shown. Both write histories. SIGTERM ends both in order.
+There are two roles. An actor joins the fleet and is a candidate in an election. While it is the leader, it
+requests effects of a ledger, one after the other. All actors also increment a counter in the coordination
+store. A ledger applies effects, and persists the fencing token of each effect in the same line as the effect.
+Both write histories, and both shut down gracefully on SIGTERM.
 """
 
 from __future__ import annotations
@@ -37,14 +38,24 @@
 
 
 class ProcessSpec(msgspec.Struct):
-    """What a process is; times in seconds.
+    """The role and the settings of a process. Times are in seconds.
 
     Attributes:
-        effect_interval_s: Between two effects of an actor.
-        effect_delay_s: From the look at the fencing token to the request of the effect.
-        uses_counter: Whether an actor adds to the shared counter.
+        role: `actor` or `ledger`.
+        name: Name of the process.
+        port: Port at which the process listens.
+        history: Path of its history.
+        store_folder: Folder of the coordination store, if it is not etcd.
+        etcd_port: Port of etcd; 0 if the coordination store is a folder.
+        ledger_port: Port of the ledger; 0 if the actor requests no effects.
+        session_s: Lifetime of a session that is not renewed.
+        lost_after_s: How long health checks of a member fail before it counts as unreachable.
+        takeover_delay_s: How long the leader's member record is missing before another actor takes over.
+        effect_interval_s: Time between two effects of an actor.
+        effect_delay_s: Time from reading the fencing token to requesting the effect.
+        uses_counter: Whether an actor increments the shared counter.
         checks_tokens: Whether a ledger rejects effects of older tokens.
-        clock_jumps: Whether the wall clock jumps by hours, forth and back.
+        clock_jumps: Whether the wall clock jumps by hours, forwards and backwards.
     """
 
     role: str
@@ -65,7 +76,7 @@
 
 
 class EffectRequest(msgspec.Struct):
-    """An effect that an actor requests under its fencing token."""
+    """The request of an actor to apply an effect under its fencing token."""
 
     resource: str
     generation: int
@@ -75,7 +86,7 @@
 
 
 class EffectResponse(msgspec.Struct):
-    """Whether the effect was taken; if not, the token that stands against it."""
+    """Whether the effect was applied. If not, `known` is the token because of which it was rejected."""
 
     taken: bool
     known: FencingToken | None = None
@@ -95,7 +106,7 @@
 
 
 class Ledger:
-    """Its history is what it persists: a line is the effect and the token that it was shown, in one write."""
+    """Applies effects. Its history is its only state: one write stores an effect and its token."""
 
     def __init__(self, spec: ProcessSpec) -> None:
         self.spec = spec
@@ -110,18 +121,18 @@
     async def handle(self, request: http.Request, connection: Connection) -> ServerResponse:
         if request.method == "GET":
             return ServerResponse(204)
-        wanted: EffectRequest = msgspec.json.decode(request.body, type=EffectRequest)
-        token = FencingToken(wanted.generation, wanted.holder)
-        decision = self.fence.present(wanted.resource, token)
+        effect_request: EffectRequest = msgspec.json.decode(request.body, type=EffectRequest)
+        token = FencingToken(effect_request.generation, effect_request.holder)
+        decision = self.fence.present(effect_request.resource, token)
         if decision.rejected_by is not None and self.spec.checks_tokens:
             self.write(
                 RejectedEffect(
                     time_us=monotonic_us(),
                     process=self.spec.name,
-                    resource=wanted.resource,
-                    generation=wanted.generation,
-                    holder=wanted.holder,
-                    item=wanted.item,
+                    resource=effect_request.resource,
+                    generation=effect_request.generation,
+                    holder=effect_request.holder,
+                    item=effect_request.item,
                     highest_generation=decision.rejected_by.generation,
                 )
             )
@@ -131,11 +142,11 @@
             Effect(
                 time_us=monotonic_us(),
                 process=self.spec.name,
-                resource=wanted.resource,
-                generation=wanted.generation,
-                holder=wanted.holder,
-                item=wanted.item,
-                key=wanted.key,
+                resource=effect_request.resource,
+                generation=effect_request.generation,
+                holder=effect_request.holder,
+                item=effect_request.item,
+                key=effect_request.key,
             )
         )
         return json_response(EffectResponse(taken=True))
@@ -147,7 +158,7 @@
 
 
 class Actor:
-    """Requests effects while it leads."""
+    """Requests effects while it is the leader."""
 
     def __init__(self, spec: ProcessSpec) -> None:
         self.spec = spec
@@ -188,7 +199,7 @@
             return self.membership.answer_health_check(query)
         if path == "/status":
             return json_response(self.status())
-        return error_response(404, "nothing here")
+        return error_response(404, "not found")
 
     def status(self) -> dict[str, Any]:
         return self.membership.status() | {
@@ -198,25 +209,25 @@
         }
 
     def counter(self) -> int:
-        found: int | None = self.membership.participant.decode_record(COUNTER_KEY, int)
-        return found or 0
+        counter: int | None = self.membership.participant.decode_record(COUNTER_KEY, int)
+        return counter or 0
 
     async def request_effects(self) -> None:
         client = HttpClient(LOCAL, self.spec.ledger_port)
-        agent = self.membership.participant
+        participant = self.membership.participant
         while True:
             await asyncio.sleep(self.spec.effect_interval_s)
             token = self.election.fencing_token
-            if self.spec.uses_counter and agent.is_joined and not self.counter_commit_id:
+            if self.spec.uses_counter and participant.is_joined and not self.counter_commit_id:
                 self.counter_commit_id = self.membership.propose(
-                    agent.build_put(COUNTER_KEY, self.counter() + 1)
+                    participant.build_put(COUNTER_KEY, self.counter() + 1)
                 )
-            if token is not None and agent.is_joined and self.spec.ledger_port:
+            if token is not None and participant.is_joined and self.spec.ledger_port:
                 await self.request_effect(client, token)
 
     async def request_effect(self, client: HttpClient, token: FencingToken) -> None:
         self.effect_count += 1
-        wanted = EffectRequest(
+        effect_request = EffectRequest(
             resource=ELECTION,
             generation=token.generation,
             holder=token.holder,
@@ -225,10 +236,12 @@
         if self.spec.effect_delay_s:
             await asyncio.sleep(self.spec.effect_delay_s)
         with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError):
-            answer = await client.request("POST", "/effect", msgspec.json.encode(wanted), timeout_s=2.0)
-            response: EffectResponse = msgspec.json.decode(answer.body, type=EffectResponse)
-            if response.known is not None:
-                self.election.on_token_rejected(self.membership.participant, response.known)
+            response = await client.request(
+                "POST", "/effect", msgspec.json.encode(effect_request), timeout_s=2.0
+            )
+            effect_response: EffectResponse = msgspec.json.decode(response.body, type=EffectResponse)
+            if effect_response.known is not None:
+                self.election.on_token_rejected(self.membership.participant, effect_response.known)
 
     async def run(self, stop: asyncio.Event) -> None:
         server = HttpServer(self.handle)
@@ -241,24 +254,24 @@
         await asyncio.gather(membership, requesting, return_exceptions=True)
 
 
-def make_clock_jump() -> None:
-    """Make the wall clock jump twice a second.
+def install_jumping_clock() -> None:
+    """Replaces the wall clock by one that jumps twice a second.
 
-    With a jump at every look no deadline of the HTTP client would mean anything: it adds to the wall clock
-    and subtracts from it some milliseconds later.
+    If it jumped at every call, the timeouts of the HTTP client would not work at all, because the client
+    computes a deadline from the wall clock and compares it with the wall clock some milliseconds later.
     """
 
-    def jumping() -> float:
+    def jumping_time() -> float:
         half_second = time.monotonic_ns() // 500_000_000
         return 1_800_000_000 + random.Random(half_second).uniform(-1e6, 1e6)
 
-    time.time = jumping
+    time.time = jumping_time
 
 
 async def main() -> None:
     spec: ProcessSpec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ProcessSpec)
     if spec.clock_jumps:
-        make_clock_jump()
+        install_jumping_clock()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
