--- a/tests/test_zone_evacuation.py
+++ b/tests/test_zone_evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuation of a zone in steps that the rest can carry, and its recovery, against a small model of zones."""
+"""Tests of the evacuation and the recovery of zones, in steps, against a small model of zones."""
 
 from __future__ import annotations
 
@@ -34,7 +34,21 @@
 
 @dataclass
 class Model:
-    """Zones with capacity and traffic, some unhealthy, some warming up; it advances by seconds."""
+    """A model of zones that advances by seconds.
+
+    Attributes:
+        capacity_per_s: Capacity by zone.
+        traffic: Requests per second by zone and request class.
+        classes: Constraints by request class.
+        unhealthy: State of the zones that are not healthy.
+        sustainable_share: Share of its traffic that a zone sustains; 1.0 for zones that are not listed.
+        fault: The fault of the fleet.
+        plan: The plan in force.
+        history: All plans so far.
+        healthy_for_us: How long each zone has been healthy.
+        now_us: The time.
+        last_step_us: When the last step was taken.
+    """
 
     capacity_per_s: dict[str, float] = field(default_factory=lambda: dict.fromkeys("xyz", 200.0))
     traffic: dict[str, dict[str, float]] = field(
@@ -51,7 +65,7 @@
     last_step_us: int = -(10**9)
 
     def loads(self, admitted: Mapping[str, float] | None = None) -> dict[str, ZoneLoad]:
-        """The load of each zone, with only the admitted share of each class."""
+        """Returns the load of each zone, reduced to the admitted share of each class."""
         admitted = admitted or {}
         return {
             zone: ZoneLoad(
@@ -75,11 +89,11 @@
             healthy_for_us=self.healthy_for_us,
             since_last_step_us=self.now_us - self.last_step_us,
         )
-        found = next_plan(self.plan, conditions, TIMING)
-        if found is not None:
-            self.plan = found
+        plan = next_plan(self.plan, conditions, TIMING)
+        if plan is not None:
+            self.plan = plan
             self.last_step_us = self.now_us
-            self.history.append(found)
+            self.history.append(plan)
 
     def advance(self, seconds: int) -> None:
         for _ in range(seconds):
@@ -89,7 +103,7 @@
         return self.plan.traffic_share(zone)
 
     def utilization(self) -> dict[str, float]:
-        """Use of each zone's capacity under the plan, with what the admission limits let in."""
+        """Returns the utilization of each zone under the plan and its admission limits."""
         evacuations = {zone: self.plan.zones.get(zone, ZoneEvacuation()) for zone in self.capacity_per_s}
         loads = self.loads(self.plan.admission_limits)
         return {
@@ -98,13 +112,13 @@
         }
 
 
-def test_a_failing_zone_is_evacuated_in_steps_that_the_others_can_carry() -> None:
+def test_a_failing_zone_is_evacuated_in_steps_within_the_capacity_of_the_others() -> None:
     model = Model(unhealthy={"x": ZoneState.FAILING})
     shares = []
     for _ in range(60):
         model.advance_second()
         shares.append(model.share("x"))
-        others = [use for zone, use in model.utilization().items() if zone != "x"]
+        others = [utilization for zone, utilization in model.utilization().items() if zone != "x"]
         assert max(others) <= MAX_UTILIZATION + 1e-9
     assert shares[-1] == 0.0
     assert shares == sorted(shares, reverse=True)
@@ -113,7 +127,7 @@
     assert model.share("y") == model.share("z") == 1.0
 
 
-def test_what_the_rest_cannot_carry_is_shed_by_one_limit_the_least_priority_first() -> None:
+def test_traffic_beyond_the_capacity_of_the_others_is_shed_by_an_admission_limit() -> None:
     model = Model(capacity_per_s={"x": 200.0, "y": 130.0, "z": 130.0}, unhealthy={"x": ZoneState.FAILING})
 
     model.advance(90)
@@ -125,7 +139,7 @@
     assert admitted > MAX_UTILIZATION * 260 * 0.9
 
 
-def test_admission_limits_shed_the_least_priority_first() -> None:
+def test_admission_limits_shed_the_class_of_the_lowest_priority_first() -> None:
     limits = compute_admission_limits({"read": 50, "write": 50}, CLASSES, 30)
 
     assert limits == {"write": 0.6, "read": 0.0}
@@ -135,7 +149,8 @@
     model = Model(unhealthy={"x": ZoneState.FAILING, "y": ZoneState.FAILING})
     model.advance(120)
     assert model.share("z") == 1.0
-    assert model.plan.admission_limits  # it carries 170 of 300
+    # The zone can serve 170 of 300 requests per second.
+    assert model.plan.admission_limits
 
     model.unhealthy["z"] = ZoneState.FAILING
     model.advance(60)
@@ -150,7 +165,7 @@
     assert alone.share("x") == 1.0
 
 
-def test_a_zone_that_the_rest_cannot_replace_is_not_evacuated() -> None:
+def test_a_zone_is_not_evacuated_if_the_others_lack_the_capacity_to_replace_it() -> None:
     model = Model(capacity_per_s={"x": 200.0, "y": 50.0, "z": 50.0}, unhealthy={"x": ZoneState.FAILING})
 
     model.advance(60)
@@ -158,7 +173,7 @@
     assert model.plan == EMPTY_PLAN
 
 
-def test_where_most_zones_fail_at_once_none_is_evacuated() -> None:
+def test_no_zone_is_evacuated_if_most_zones_fail_at_once() -> None:
     model = Model(fault=FleetFault.MOST_ZONES_FAILING, unhealthy=dict.fromkeys("xyz", ZoneState.FAILING))
 
     model.advance(60)
@@ -166,7 +181,7 @@
     assert model.plan == EMPTY_PLAN
 
 
-def test_traffic_bound_to_a_zone_needs_no_steps_for_the_others() -> None:
+def test_a_zone_whose_traffic_must_not_move_is_evacuated_in_one_step() -> None:
     model = Model(
         classes={
             "read": ClassConstraints(1.0, zone_local=True),
@@ -180,12 +195,12 @@
     assert model.share("x") == 0.0
 
 
-def test_a_class_can_move_to_its_allowed_zones_alone() -> None:
+def test_a_class_can_move_only_to_its_allowed_zones() -> None:
     assert not ClassConstraints(1.0, frozenset({"x"})).can_move_to(frozenset("yz"))
     assert ClassConstraints(1.0, frozenset("xy")).can_move_to(frozenset("yz"))
 
 
-def test_a_recovered_zone_is_back_in_bounded_time_and_not_before_it_is_warm() -> None:
+def test_a_healthy_zone_recovers_in_bounded_time_and_not_before_its_replicas_are_warm() -> None:
     model = Model(unhealthy={"x": ZoneState.FAILING})
     model.advance(60)
     del model.unhealthy["x"]
@@ -221,7 +236,8 @@
         before = model.share("x")
         model.unhealthy["x"] = ZoneState.SLOW
         model.advance_second()
-        assert model.share("x") == pytest.approx(before / 2)  # at once, not after the settling time
+        # A relapse takes effect at once, without the settling time.
+        assert model.share("x") == pytest.approx(before / 2)
     assert waits == sorted(waits)
     assert waits[1] == 2 * waits[0]
     assert waits[-1] == TIMING.max_healthy_us
@@ -248,7 +264,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_any_faults_leave_a_zone_in_service_and_all_recover_in_the_end(seed: int) -> None:
+def test_one_zone_always_stays_in_service_and_all_zones_recover_after_random_faults(seed: int) -> None:
     generator = random.Random(seed)
     model = Model(
         capacity_per_s={zone: generator.uniform(100, 300) for zone in "wxyz"},
@@ -282,7 +298,7 @@
 
 
 @pytest.mark.parametrize("loads", [{}, {"y": ZoneLoad({"read": 1.0}, 5.0)}], ids=["no zone", "another zone"])
-def test_a_new_leader_leaves_a_zone_alone_that_it_knows_nothing_of(loads: dict[str, ZoneLoad]) -> None:
+def test_a_new_leader_does_not_change_a_zone_whose_load_it_does_not_know(loads: dict[str, ZoneLoad]) -> None:
     evacuation = ZoneEvacuation(
         traffic_share=0.3, reason=ZoneState.FAILING.value, required_healthy_us=10 * SECOND
     )
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Health of zones as governors observe and assess it, and the allocation of a quota among them."""
+"""Tests of the health assessment of zones, the quota allocation among governors, and the zone coordinator."""
 
 from __future__ import annotations
 
@@ -25,34 +25,41 @@
 Observations = dict[str, ZoneObservation]
 
 
-def report(
-    zone: str, other: Observations, requests_per_s: float = 100.0, list_age_us: int = 0
+def make_report(
+    zone: str, unhealthy: Observations, requests_per_s: float = 100.0, list_age_us: int = 0
 ) -> HealthReport:
-    """A report that sees every zone healthy but those in `other`."""
+    """Returns a report with the observations `unhealthy`, in which all other zones are healthy."""
     return HealthReport(
         zone=zone,
         requests_per_s=requests_per_s,
         list_age_us=list_age_us,
-        observations={z: other.get(z, HEALTHY) for z in ZONES},
+        observations={z: unhealthy.get(z, HEALTHY) for z in ZONES},
     )
 
 
-def assessor(*observers: tuple[str, Observations], list_age_us: int = 0) -> HealthAssessor:
-    """An assessor with one report of each observer, given by its zone and what it sees not healthy."""
-    found = HealthAssessor(report_ttl_us=10 * SECOND, list_ttl_us=20 * SECOND)
-    for number, (zone, other) in enumerate(observers):
-        found.record_report(0, f"g{number}", report(zone, other, list_age_us=list_age_us))
-    return found
+def make_assessor(*observers: tuple[str, Observations], list_age_us: int = 0) -> HealthAssessor:
+    """Returns an assessor with reports of observers, given by zone and unhealthy observations."""
+    assessor = HealthAssessor(report_ttl_us=10 * SECOND, list_ttl_us=20 * SECOND)
+    for number, (zone, unhealthy) in enumerate(observers):
+        assessor.record_report(0, f"g{number}", make_report(zone, unhealthy, list_age_us=list_age_us))
+    return assessor
 
 
-def all_see(zone: str, observation: ZoneObservation) -> list[tuple[str, Observations]]:
-    """Two observers in each zone that see one zone the same."""
+def observed_by_all(zone: str, observation: ZoneObservation) -> list[tuple[str, Observations]]:
+    """Returns two observers in each zone, all of which have the same observation of one zone."""
     return [(z, {zone: observation}) for z in ZONES for _ in range(2)]
 
 
 @dataclass(frozen=True)
 class FaultCase:
-    """What observers see, and what the assessment has to find: states of zones that are not healthy."""
+    """The input and the expected result of an assessment.
+
+    Attributes:
+        observers: The zone of each observer, and its observations that are not healthy.
+        states: The expected states of zones that are not healthy.
+        fault: The expected fault of the fleet.
+        excluded_count: The expected number of excluded observers.
+    """
 
     observers: list[tuple[str, Observations]]
     states: dict[str, ZoneState]
@@ -62,11 +69,11 @@
 
 FAULT_CASES = {
     "no fault": FaultCase([(z, {}) for z in ZONES], {}),
-    "a zone fails": FaultCase(all_see("x", FAILING), {"x": ZoneState.FAILING}),
-    "a zone that only its own observers reach": FaultCase(
+    "a zone is failing": FaultCase(observed_by_all("x", FAILING), {"x": ZoneState.FAILING}),
+    "only a zone's own observers can reach it": FaultCase(
         [("x", {}), ("x", {}), ("y", {"x": FAILING}), ("z", {"x": FAILING})], {"x": ZoneState.PARTITIONED}
     ),
-    "observers of a partitioned zone see all others fail": FaultCase(
+    "observers in a partitioned zone observe failures in all other zones": FaultCase(
         [
             ("x", {"y": FAILING, "z": FAILING}),
             ("x", {"y": FAILING, "z": FAILING}),
@@ -76,53 +83,53 @@
         {"x": ZoneState.PARTITIONED},
         excluded_count=2,
     ),
-    "one observer's machine is isolated, from its own zone too": FaultCase(
+    "an observer is isolated from all zones, including its own": FaultCase(
         [("x", {"x": FAILING, "y": FAILING, "z": FAILING}), ("x", {}), ("y", {}), ("z", {})],
         {},
         excluded_count=1,
     ),
-    "a zone is slow": FaultCase(all_see("x", SLOW), {"x": ZoneState.SLOW}),
-    "a bad version fails in every zone": FaultCase(
+    "a zone is slow": FaultCase(observed_by_all("x", SLOW), {"x": ZoneState.SLOW}),
+    "a bad release fails in every zone": FaultCase(
         [(z, {"x": FAILING, "y": FAILING, "z": FAILING}) for z in ZONES],
         {"x": ZoneState.FAILING, "y": ZoneState.FAILING, "z": ZoneState.FAILING},
         fault=FleetFault.MOST_ZONES_FAILING,
     ),
-    "one zone fails while another is slow": FaultCase(
+    "one zone is failing while another is slow": FaultCase(
         [(z, {"x": FAILING, "y": SLOW}) for z in ZONES],
         {"x": ZoneState.FAILING, "y": ZoneState.SLOW},
     ),
-    "one zone fails while an observer reports another falsely": FaultCase(
-        [*all_see("x", FAILING), ("z", {"x": FAILING, "y": FAILING})], {"x": ZoneState.FAILING}
+    "one zone is failing while an observer falsely reports another one as failing": FaultCase(
+        [*observed_by_all("x", FAILING), ("z", {"x": FAILING, "y": FAILING})], {"x": ZoneState.FAILING}
     ),
 }
 
 
 @pytest.mark.parametrize("case", FAULT_CASES.values(), ids=FAULT_CASES.keys())
-def test_each_fault_is_told_from_the_others(case: FaultCase) -> None:
-    found = assessor(*case.observers).assess(SECOND)
+def test_faults_are_distinguished_from_each_other(case: FaultCase) -> None:
+    health = make_assessor(*case.observers).assess(SECOND)
 
-    assert found.zones == {z: case.states.get(z, ZoneState.HEALTHY) for z in ZONES}
-    assert found.fault is case.fault
-    assert len(found.excluded_observers) == case.excluded_count
+    assert health.zones == {z: case.states.get(z, ZoneState.HEALTHY) for z in ZONES}
+    assert health.fault is case.fault
+    assert len(health.excluded_observers) == case.excluded_count
 
 
 def test_a_lost_endpoint_list_makes_no_zone_unhealthy() -> None:
-    found = assessor(*((z, {}) for z in ZONES), list_age_us=30 * SECOND).assess(SECOND)
+    health = make_assessor(*((z, {}) for z in ZONES), list_age_us=30 * SECOND).assess(SECOND)
 
-    assert found.fault is FleetFault.DISCOVERY_LOST
-    assert set(found.zones.values()) == {ZoneState.HEALTHY}
+    assert health.fault is FleetFault.DISCOVERY_LOST
+    assert set(health.zones.values()) == {ZoneState.HEALTHY}
 
 
-def test_a_false_report_changes_nothing_whatever_traffic_it_claims() -> None:
-    fleet = assessor(("x", {}), ("y", {}), ("z", {}))
-    fleet.record_report(0, "false", report("y", {"x": FAILING}, requests_per_s=1e9))
+def test_a_single_false_report_changes_nothing_regardless_of_the_traffic_it_claims() -> None:
+    fleet = make_assessor(("x", {}), ("y", {}), ("z", {}))
+    fleet.record_report(0, "false", make_report("y", {"x": FAILING}, requests_per_s=1e9))
 
     assert fleet.assess(SECOND).zones["x"] is ZoneState.HEALTHY
 
 
-def test_reports_that_are_not_renewed_stop_counting() -> None:
-    fleet = assessor(*all_see("x", FAILING))
-    fleet.record_report(9 * SECOND, "new", report("x", {}, requests_per_s=1.0))
+def test_reports_that_are_not_renewed_are_ignored() -> None:
+    fleet = make_assessor(*observed_by_all("x", FAILING))
+    fleet.record_report(9 * SECOND, "new", make_report("x", {}, requests_per_s=1.0))
 
     assert fleet.assess(9 * SECOND).zones["x"] is ZoneState.FAILING
     assert fleet.assess(12 * SECOND).zones["x"] is ZoneState.HEALTHY
@@ -135,14 +142,14 @@
         (ZoneObservation(ready_replicas=10, health_checks=4, failed_health_checks=4), ZoneState.FAILING),
         (ZoneObservation(ready_replicas=10, silent_replicas=10, health_checks=4), ZoneState.HEALTHY),
     ],
-    ids=["too few attempts", "failed health checks", "answered health checks"],
+    ids=["too few attempts", "failed health checks", "successful health checks"],
 )
-def test_health_checks_decide_where_no_traffic_is_sent(
+def test_health_checks_decide_if_a_zone_gets_no_traffic(
     observation: ZoneObservation, state: ZoneState
 ) -> None:
-    found = assessor(*((z, {"x": observation}) for z in ZONES)).assess(SECOND)
+    health = make_assessor(*((z, {"x": observation}) for z in ZONES)).assess(SECOND)
 
-    assert found.zones["x"] is state
+    assert health.zones["x"] is state
 
 
 Allocator = Callable[
@@ -152,7 +159,13 @@
 
 @dataclass(frozen=True)
 class QuotaUse:
-    """Of one simulation: the most in use at once, what is in use after a quiet end, and by how many."""
+    """The result of a simulation.
+
+    Attributes:
+        peak: The largest total use at any time.
+        final: The total use after the rounds without faults at the end.
+        member_count: The number of members that run at the end.
+    """
 
     peak: float
     final: float
@@ -160,7 +173,18 @@
 
 
 class QuotaSimulation:
-    """Members that start, die, stand still and change their traffic while quotas are allocated to them."""
+    """Members that start, die, hang and change their traffic while quotas are allocated to them.
+
+    Attributes:
+        random: The generator of all random choices.
+        allocate: The function that makes the next allocation.
+        allocation: The allocation in force.
+        traffic: Requests per second of each member that runs.
+        started: Number of members that were started.
+        in_use: The quota that each member's tables use, also after its death.
+        confirmed: Generation of the allocation that each member has confirmed.
+        departed: Members whose tables are no longer used.
+    """
 
     def __init__(self, seed: int, allocate: Allocator) -> None:
         self.random = random.Random(seed)
@@ -187,11 +211,13 @@
                 self.started += 1
                 self.traffic[f"m{self.started}"] = self.random.random() * 100
                 self.in_use[f"m{self.started}"] = 0.0
-            case 2 if self.traffic:  # its tables are used until the drain timeout is over
+            case 2 if self.traffic:
+                # A member dies. Its tables are used until its drain timeout has passed.
                 self.traffic.pop(self.random.choice(sorted(self.traffic)))
             case 3 if dead := sorted(self.in_use.keys() - self.traffic.keys()):
                 self.end_drain(self.random.choice(dead))
-            case 4 | 5 if self.traffic:  # one that does not stand still follows the allocation
+            case 4 | 5 if self.traffic:
+                # A member that does not hang applies the allocation.
                 member = self.random.choice(sorted(self.traffic))
                 if member in self.allocation.quotas:
                     self.follow(member)
@@ -201,7 +227,7 @@
                 self.allocate_next(f"d{self.random.randrange(3)}")
 
     def quiet_round(self) -> None:
-        """All that died have drained, and all others confirm."""
+        """Runs a round in which all dead members have drained and all others confirm the allocation."""
         for member in sorted(self.in_use.keys() - self.traffic.keys()):
             self.end_drain(member)
         self.allocate_next("d")
@@ -217,20 +243,20 @@
         self.confirmed[member] = self.allocation.generation
 
     def allocate_next(self, leader: str) -> None:
-        found = self.allocate(self.allocation, leader, self.traffic, self.confirmed, self.departed)
-        self.allocation = found or self.allocation
+        allocation = self.allocate(self.allocation, leader, self.traffic, self.confirmed, self.departed)
+        self.allocation = allocation or self.allocation
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_the_quotas_in_use_never_exceed_the_whole_whoever_dies_starts_or_stands_still(seed: int) -> None:
+def test_the_quotas_in_use_never_exceed_the_whole_when_members_start_die_or_hang(seed: int) -> None:
     use = QuotaSimulation(seed, next_allocation).run()
 
     assert use.peak <= 1 + 1e-9
     assert not use.member_count or 0.85 <= use.final <= 1 + 1e-9
 
 
-def test_the_simulation_finds_an_allocation_that_ignores_what_is_in_use() -> None:
-    def by_traffic_alone(
+def test_the_simulation_detects_an_allocation_that_ignores_quotas_in_use() -> None:
+    def allocate_by_traffic(
         current: QuotaAllocation,
         leader: str,
         requests_per_s: Mapping[str, float],
@@ -243,13 +269,13 @@
             generation=current.generation + 1, leader=leader, quotas=quotas, upper_bounds=quotas
         )
 
-    peaks = [QuotaSimulation(seed, by_traffic_alone).run().peak for seed in range(10)]
+    peaks = [QuotaSimulation(seed, allocate_by_traffic).run().peak for seed in range(10)]
 
     assert sum(peak > 1.01 for peak in peaks) >= 5
 
 
-def test_an_allocation_among_a_thousand_fits_a_record_and_stands_while_traffic_varies_a_little() -> None:
-    traffic = {f"governor-of-some-hall-{n:04d}-1a2b3c4d": 10.0 + n % 7 for n in range(1_024)}
+def test_an_allocation_of_1024_members_fits_a_record_and_is_kept_if_traffic_varies_little() -> None:
+    traffic = {f"governor-in-some-zone-{n:04d}-1a2b3c4d": 10.0 + n % 7 for n in range(1_024)}
     first = next_allocation(QuotaAllocation(0, ""), "g", traffic, {}, ())
     assert first is not None
     check_sizes((Put("zones/deal", msgspec.json.encode(first), 0),))
@@ -261,7 +287,7 @@
 
 @pytest.fixture
 def coordinator() -> ZoneCoordinator:
-    """A coordinator that follows step 4 of generation 3, led by b."""
+    """Returns a coordinator that has adopted step 4 of generation 3, whose leader is b."""
     config = CoordinatorConfig(
         classes={},
         timing=EvacuationTiming(settle_us=0, min_healthy_us=0, max_healthy_us=0),
@@ -271,24 +297,24 @@
         fallback_hold_us=SECOND,
         fallback_ramp_us=SECOND,
     )
-    found = ZoneCoordinator("run", config)
+    zone_coordinator = ZoneCoordinator("run", config)
     plan = EvacuationPlan(generation=3, leader="b", step=4, zones={"x": ZoneEvacuation(0.5)})
-    assert found.on_plan(0, plan)
-    return found
+    assert zone_coordinator.on_plan(0, plan)
+    return zone_coordinator
 
 
 @pytest.mark.parametrize("token", [FencingToken(2, "a"), FencingToken(3, "a")])
-def test_a_leader_that_was_replaced_makes_no_step(coordinator: ZoneCoordinator, token: FencingToken) -> None:
+def test_a_leader_that_was_replaced_takes_no_step(coordinator: ZoneCoordinator, token: FencingToken) -> None:
     assert coordinator.next_plan(0, token) is None
 
 
-def test_a_new_leader_first_puts_its_generation_on_the_plan(coordinator: ZoneCoordinator) -> None:
+def test_a_new_leader_first_writes_the_plan_under_its_own_generation(coordinator: ZoneCoordinator) -> None:
     expected = EvacuationPlan(generation=4, leader="a", step=0, zones={"x": ZoneEvacuation(0.5)})
 
     assert coordinator.next_plan(0, FencingToken(4, "a")) == expected
 
 
-def test_neither_an_older_plan_nor_a_lost_one_ends_what_was_agreed(coordinator: ZoneCoordinator) -> None:
+def test_neither_an_older_plan_nor_a_lost_one_changes_the_agreed_limits(coordinator: ZoneCoordinator) -> None:
     assert not coordinator.on_plan(0, EvacuationPlan(generation=2, leader="a", step=9))
     assert coordinator.on_plan(0, None)
     assert coordinator.current_quotas(0, 1.0).zone_quotas == {"x": 0.5}
