--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""Participants and elections over a simulated store, under a virtual clock and seeded faults."""
+"""Tests of participants and elections with a simulated store, a virtual clock and seeded faults."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from tests.support.store_simulation import COUNTER_KEY, RESOURCE, StoreSimulation
 
 
-def assert_effects_in_order(simulation: StoreSimulation) -> None:
+def assert_no_effect_violation(simulation: StoreSimulation) -> None:
     violations = find_fencing_violations(simulation.entries) + find_duplicate_effects(simulation.entries)
     assert not violations, violations[0]
 
 
-def assert_history_in_order(simulation: StoreSimulation) -> None:
+def assert_no_violation(simulation: StoreSimulation) -> None:
     violations = find_linearizability_violations(simulation.entries)
     assert not violations, violations[0]
-    assert_effects_in_order(simulation)
+    assert_no_effect_violation(simulation)
 
 
 def stored_counter(simulation: StoreSimulation) -> int:
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_history_is_linearizable_and_effects_fenced_under_any_faults(seed: int) -> None:
+def test_history_is_linearizable_and_effects_are_fenced_under_random_faults(seed: int) -> None:
     simulation = StoreSimulation(seed, process_count=4)
     simulation.run_for(5)
     choose = simulation.random.choice
@@ -86,11 +86,14 @@
         simulation.run_for(1)
     last_effect = [entry for entry in simulation.entries if isinstance(entry, Effect)][-1]
     assert last_effect.holder == simulation.leaders[0].participant.identity.incarnation
-    assert_history_in_order(simulation)
+    assert_no_violation(simulation)
 
 
-def test_paused_leader_acts_beside_its_successor_only_without_the_fence() -> None:
-    """A lease trusted: the first leader looks, is paused for 30 s, and goes on in the middle of its step."""
+def test_paused_leader_has_effects_after_its_successor_only_without_the_fence() -> None:
+    """The first leader is paused for 30 s within a step and then continues it.
+
+    Its lease does not prevent the effect, because it has read its token before the pause.
+    """
     violations = {}
     for disabled_guard in (None, Guard.TOKEN_AT_EFFECT):
         simulation = StoreSimulation(1, process_count=2, disabled_guard=disabled_guard)
@@ -154,7 +157,7 @@
     assert stored_counter(simulation) == 2
 
 
-def test_stale_reads_are_not_applied_and_are_no_rollback() -> None:
+def test_stale_reads_are_neither_applied_nor_taken_for_a_rollback() -> None:
     simulation = StoreSimulation(5, process_count=3)
     simulation.run_for(10)
     simulation.store.faults = Faults(stale_reads=0.6, broken_watches=0.5)
@@ -173,11 +176,12 @@
     assert not any(process.notifications_of(ProcessFenced) for process in simulation.processes)
 
 
-def test_rollback_fences_all_and_generations_continue_above_those_known() -> None:
+def test_rollback_fences_all_processes_and_generations_continue_above_the_known_ones() -> None:
     simulation = StoreSimulation(6, process_count=3)
     simulation.run_for(10)
     snapshot = simulation.keyspace.snapshot()
-    for _ in range(3):  # generations that the snapshot does not know
+    # Each change of the leader issues a generation that the snapshot does not contain.
+    for _ in range(3):
         (leader,) = simulation.leaders
         simulation.act_as_leader(leader)
         simulation.pause(leader)
@@ -205,11 +209,11 @@
     floors = leader.participant.decode_record(GENERATION_FLOORS_KEY, dict[str, int])
     assert floors is not None
     assert any(key.startswith("rights/") for key in floors)
-    assert_effects_in_order(simulation)
+    assert_no_effect_violation(simulation)
 
 
-def test_rollback_past_the_known_revision_shows_by_the_change_seen_last() -> None:
-    """The revision alone says nothing here: it is higher than any that the process knew."""
+def test_rollback_is_detected_by_the_last_known_change_if_the_store_has_a_higher_revision() -> None:
+    """The revision alone does not show the rollback, because it is higher than any that the process knows."""
     simulation = StoreSimulation(7, process_count=3)
     simulation.run_for(10)
     snapshot = simulation.keyspace.snapshot()
@@ -234,12 +238,12 @@
     assert first_count == third.participant.decode_record(COUNTER_KEY, int)
 
 
-def test_conflicting_generation_is_rejected_at_the_effect_and_exceeded() -> None:
-    """Nobody who knew of generation 9 outlived the rollback: whoever takes the effects tells of it."""
+def test_conflicting_generation_is_rejected_with_the_effect_and_a_higher_one_is_claimed() -> None:
+    """No process that knew of generation 9 survived a rollback, so only the receiver of effects knows it."""
     simulation = StoreSimulation(8, process_count=1)
     simulation.run_for(10)
     (process,) = simulation.processes
-    simulation.fence = simulation.fence.present(RESOURCE, FencingToken(9, "somebody before")).fence
+    simulation.fence = simulation.fence.present(RESOURCE, FencingToken(9, "earlier holder")).fence
 
     simulation.act_as_leader(process)
     simulation.run_for(10)
@@ -251,7 +255,7 @@
     assert simulation.fence.highest_tokens[RESOURCE] == process.token
 
 
-def test_long_outage_costs_nothing_held_and_processes_return_spread_over_seconds() -> None:
+def test_long_outage_ends_no_session_and_processes_return_spread_over_seconds() -> None:
     simulation = StoreSimulation(9, process_count=30)
     simulation.run_for(20)
     (leader,) = simulation.leaders
@@ -265,9 +269,11 @@
     requests_before = simulation.request_counts.total()
     simulation.run_for(10)
     requests_in_outage = simulation.request_counts.total() - requests_before
-    assert requests_in_outage <= 30 * 2 * 10 / 1.5 + 60  # two activities, each once in 1.5 s at the most
+    # Each process has two callers, and each of them makes at most one request in 1.5 s.
+    assert requests_in_outage <= 30 * 2 * 10 / 1.5 + 60
 
-    # As engines do after an election, and the store of one machine after a standstill.
+    # After an outage the store extends all sessions, as etcd does after an election of its leader, and the
+    # store in a folder does after it was suspended.
     simulation.keyspace.extend_leases(simulation.now_us)
     simulation.store.faults = Faults()
     reads_before = simulation.request_counts[ReadRecords]
@@ -276,8 +282,10 @@
         simulation.run_for(0.1)
         joined_counts.append(sum(process.participant.is_joined for process in simulation.processes))
     assert joined_counts[-1] == 30
-    assert joined_counts[9] < 15  # over seconds, not at once
-    assert simulation.request_counts[ReadRecords] == reads_before  # watches go on from where they were
+    # The processes return over several seconds.
+    assert joined_counts[9] < 15
+    # Watches continue from the cached revision, without a full read.
+    assert simulation.request_counts[ReadRecords] == reads_before
     assert [len(process.notifications_of(FleetJoined)) for process in simulation.processes] == joined_before
     assert simulation.leaders == [leader]
 
@@ -299,7 +307,7 @@
     assert process.participant.fencing_token.holder == before.holder
 
 
-def test_later_of_two_processes_of_one_name_stays_and_the_earlier_reports_it_once() -> None:
+def test_later_of_two_processes_with_the_same_name_stays_and_the_earlier_reports_it_once() -> None:
     simulation = StoreSimulation(11, process_count=2)
     simulation.run_for(5)
     first = simulation.processes[0]
@@ -315,7 +323,7 @@
     assert len(first.notifications_of(ProcessSuperseded)) == 1
 
 
-def test_full_store_rejects_commits_and_what_stands_goes_on() -> None:
+def test_full_store_rejects_commits_and_the_session_continues() -> None:
     simulation = StoreSimulation(12, process_count=2)
     simulation.run_for(10)
     process = simulation.processes[0]
@@ -333,12 +341,12 @@
     assert process.participant.decode_record(COUNTER_KEY, int) == 1
 
 
-def test_malformed_record_costs_itself_alone_and_is_reported_once() -> None:
+def test_malformed_record_affects_no_other_record_and_is_reported_once() -> None:
     simulation = StoreSimulation(13, process_count=1)
     simulation.run_for(5)
     (process,) = simulation.processes
     participant = process.participant
-    simulation.store.write_directly(b"members/actor/odd", b"t\0{not json")
+    simulation.store.write_directly(b"members/actor/malformed", b"t\0{not json")
     simulation.run_for(5)
 
     for _ in range(3):
@@ -350,11 +358,11 @@
 
     assert [key for key, member in members.items() if member is not None] == ["members/actor/p0"]
     notifications = process.notifications + participant.take_notifications()
-    skipped = [one.key for one in notifications if isinstance(one, RecordDecodeFailed)]
-    assert skipped == ["members/actor/odd"]
+    undecodable_keys = [n.key for n in notifications if isinstance(n, RecordDecodeFailed)]
+    assert undecodable_keys == ["members/actor/malformed"]
 
 
-def test_planned_end_ends_the_session_at_once() -> None:
+def test_graceful_shutdown_ends_the_session_at_once() -> None:
     simulation = StoreSimulation(14, process_count=2)
     simulation.run_for(5)
     process = simulation.processes[0]
--- a/tests/test_participant.py
+++ b/tests/test_participant.py
@@ -1,4 +1,4 @@
-"""A participant, its watch cache and fences, call by call."""
+"""Tests of single calls of a participant, of the watch cache and of fences."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def joined_participant() -> tuple[Participant, StoreRequest]:
-    """A participant that joined at revision 5, and its watch in flight."""
+    """Returns a participant that has joined at revision 5, and its watch in flight."""
     participant = new_participant()
     read = request_for(participant.take_due_requests(0), ReadRecords)
     participant.handle_response(1, read.request_id, snapshot(4))
@@ -92,22 +92,25 @@
 
 
 @pytest.mark.parametrize("outcome", [CommitOutcome.COMMITTED, CommitOutcome.REJECTED, CommitOutcome.UNKNOWN])
-def test_outcome_of_an_overwritten_commit_comes_from_the_watch_and_is_never_guessed(
+def test_outcome_of_an_overwritten_commit_is_taken_from_the_watch_or_unknown(
     outcome: CommitOutcome,
 ) -> None:
     participant, watch = joined_participant()
     commit_id = participant.propose(Put("k", b"mine", 0))
     other = Record(key="k", value=b"other", version=7, commit_id="other:1")
     first_attempt = request_for(participant.take_due_requests(100 * SECOND_US), CommitChanges)
-    participant.handle_failure(100 * SECOND_US, first_attempt.request_id, OutcomeUnknownError("lost"))
+    participant.handle_failure(
+        100 * SECOND_US, first_attempt.request_id, OutcomeUnknownError("response lost")
+    )
     now_us = 200 * SECOND_US
     second_attempt = request_for(participant.take_due_requests(now_us), CommitChanges)
     participant.handle_response(now_us, second_attempt.request_id, CommitRejected(7, (other,)))
+    # Before the watch has delivered its changes, the outcome is open.
     notifications = participant.take_notifications()
-    assert not [one for one in notifications if isinstance(one, CommitSettled)]  # nothing is known yet
+    assert not [n for n in notifications if isinstance(n, CommitSettled)]
 
     if outcome is CommitOutcome.UNKNOWN:
-        participant.handle_failure(now_us, watch.request_id, HistoryCompactedError("gone"))
+        participant.handle_failure(now_us, watch.request_id, HistoryCompactedError("history is compacted"))
         read = request_for(participant.take_due_requests(300 * SECOND_US), ReadRecords)
         participant.handle_response(300 * SECOND_US, read.request_id, snapshot(7, other))
     else:
@@ -118,13 +121,13 @@
     participant.take_due_requests(400 * SECOND_US)
 
     notifications = participant.take_notifications()
-    (settled,) = [one for one in notifications if isinstance(one, CommitSettled)]
+    (settled,) = [n for n in notifications if isinstance(n, CommitSettled)]
     assert settled.commit_id == commit_id
     assert settled.outcome is outcome
 
 
 def test_all_records_are_reported_as_changed_after_a_rollback() -> None:
-    """Members that the older store does not know stayed there for good."""
+    """The deletion of records that an older store lacks was not reported, so members were never removed."""
     participant, watch = joined_participant()
     member = written(Record(key="members/a/c", value=b"", version=6))
     participant.handle_response(SECOND_US, watch.request_id, batch(4, 6, member))
@@ -164,7 +167,7 @@
 class TestWatchCache:
     @pytest.fixture
     def cache(self) -> WatchCache:
-        """Two records of revision 5, then one changed and one deleted up to revision 7."""
+        """Returns a cache of two records, of which a watch then changed one and deleted the other."""
         cache = WatchCache("")
         cache.load_snapshot(snapshot(5, record("a", 3), record("b", 5)))
         cache.apply_batch(self.changes)
@@ -181,65 +184,65 @@
         assert cache.records == {"a": record("a", 6)}
         assert cache.verification_revision == 6
 
-    def test_reports_missing_changes(self, cache: WatchCache) -> None:
+    def test_rejects_a_batch_after_missing_changes(self, cache: WatchCache) -> None:
         with pytest.raises(RevisionGapError):
             cache.apply_batch(batch(9, 10))
 
-    def test_reports_stale_responses(self, cache: WatchCache) -> None:
+    def test_rejects_stale_responses(self, cache: WatchCache) -> None:
         with pytest.raises(StaleReadError):
             cache.apply_batch(batch(7, 3))
         with pytest.raises(StaleReadError):
             cache.load_snapshot(snapshot(6, record("a", 6)))
 
-    def test_reports_another_store(self, cache: WatchCache) -> None:
+    def test_rejects_another_store(self, cache: WatchCache) -> None:
         with pytest.raises(StoreRolledBackError, match="store id is two, and was one"):
             cache.apply_batch(batch(7, 8, store_id="two"))
 
-    def test_reports_a_history_that_changed(self, cache: WatchCache) -> None:
+    def test_rejects_a_contradicting_history(self, cache: WatchCache) -> None:
         other_history = batch(6, 9, written(record("c", 7)))
         with pytest.raises(StoreRolledBackError, match="revision 7 changes c, and changed b before"):
             cache.apply_batch(other_history)
         with pytest.raises(StoreRolledBackError, match="a at version 6 does not match the known record at 6"):
             cache.load_snapshot(snapshot(9, record("a", 6, b"other")))
 
-    def test_goes_on_after_errors(self, cache: WatchCache) -> None:
-        for unusable in (
+    def test_applies_valid_batches_after_errors(self, cache: WatchCache) -> None:
+        for invalid_batch in (
             batch(9, 10),
             batch(7, 3),
             batch(7, 8, store_id="two"),
             batch(6, 9, written(record("c", 7))),
         ):
             with pytest.raises(WatchCacheError):
-                cache.apply_batch(unusable)
-        for unusable_snapshot in (
+                cache.apply_batch(invalid_batch)
+        for invalid_snapshot in (
             snapshot(6, record("a", 6)),
             snapshot(9, record("a", 6, b"other")),
         ):
             with pytest.raises(WatchCacheError):
-                cache.load_snapshot(unusable_snapshot)
+                cache.load_snapshot(invalid_snapshot)
 
         repeated_and_new = (deleted("b", 7), written(record("d", 9)))
         assert cache.apply_batch(batch(6, 9, *repeated_and_new)) == [written(record("d", 9))]
 
 
 class TestFence:
-    held = FencingToken(3, "a")
+    known = FencingToken(3, "a")
 
-    def test_admits_the_first_of_two_holders_of_one_generation(self) -> None:
-        decision = Fence().present("x", self.held)
+    def test_admits_the_first_of_two_holders_of_the_same_generation(self) -> None:
+        decision = Fence().present("x", self.known)
         assert decision.is_admitted
         fence = decision.fence
 
-        assert fence.present("x", self.held).rejected_by is None
-        assert fence.present("x", FencingToken(3, "b")).rejected_by == self.held
-        assert fence.present("x", FencingToken(2, "a")).rejected_by == self.held
+        assert fence.present("x", self.known).rejected_by is None
+        assert fence.present("x", FencingToken(3, "b")).rejected_by == self.known
+        assert fence.present("x", FencingToken(2, "a")).rejected_by == self.known
 
-    def test_admits_higher_generations_and_rejects_those_below(self) -> None:
-        fence = Fence().present("x", self.held).fence
+    def test_admits_higher_generations_and_rejects_lower_ones(self) -> None:
+        fence = Fence().present("x", self.known).fence
         decision = fence.present("x", FencingToken(4, "b"))
         assert decision.is_admitted
         assert decision.fence.present("x", FencingToken(3, "a")).rejected_by == FencingToken(4, "b")
 
-    def test_keeps_resources_apart(self) -> None:
-        fence = Fence().present("x", self.held).fence
+    def test_keeps_a_token_for_each_resource(self) -> None:
+        fence = Fence().present("x", self.known).fence
         assert fence.present("y", FencingToken(1, "a")).is_admitted
