--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: suspicion, loss, isolation, and the order of contacts."""
+"""Tests of the failure detector: states of members, isolation, and the order of health checks."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 
 def detector_of(count: int = 5) -> FailureDetector:
-    """The detector of member 0 of a fleet."""
+    """Returns the detector of member 0 in a fleet of `count` members."""
     detector = FailureDetector(key(0), lost_after_us=3 * SECOND_US, check_interval_us=SECOND_US // 10, seed=1)
     for number in range(count):
         detector.update_member(0, key(number), member(number))
     return detector
 
 
-def miss(detector: FailureDetector, now_us: int, *numbers: int) -> None:
+def fail_check(detector: FailureDetector, now_us: int, *numbers: int) -> None:
     for number in numbers:
         detector.record_health_check(now_us, key(number), 1, succeeded=False)
 
@@ -43,11 +43,12 @@
     return detector.evaluate(now_us)[key(number)].state
 
 
-def test_member_is_suspected_before_it_is_lost_and_lost_locally_before_by_majority() -> None:
+def test_member_is_suspected_then_unreachable_locally_and_then_unreachable_by_majority() -> None:
     detector = detector_of()
-    miss(detector, SECOND_US, 1)
-    assert state_of(detector, SECOND_US, 1) is MemberState.ALIVE  # one is lost now and then
-    miss(detector, 2 * SECOND_US, 1)
+    fail_check(detector, SECOND_US, 1)
+    # A single failed health check is not enough.
+    assert state_of(detector, SECOND_US, 1) is MemberState.ALIVE
+    fail_check(detector, 2 * SECOND_US, 1)
     assert state_of(detector, 2 * SECOND_US, 1) is MemberState.SUSPECTED
     assert state_of(detector, 5 * SECOND_US, 1) is MemberState.UNREACHABLE_LOCALLY
     assert detector.build_report(5 * SECOND_US) == ReachabilityReport((key(1),))
@@ -65,10 +66,10 @@
     assert state_of(detector, 6 * SECOND_US, 1) is MemberState.ALIVE
 
 
-def test_process_that_lost_most_members_is_isolated_and_its_report_does_not_count() -> None:
+def test_process_that_cannot_reach_most_members_is_isolated_and_its_report_is_ignored() -> None:
     isolated = detector_of()
     for now_us in (SECOND_US, 2 * SECOND_US):
-        miss(isolated, now_us, 1, 2, 3)
+        fail_check(isolated, now_us, 1, 2, 3)
     assert isolated.is_isolated()
     assert isolated.build_report(9 * SECOND_US).is_isolated
 
@@ -79,10 +80,10 @@
     assert state_of(other, SECOND_US, 1) is MemberState.ALIVE
 
 
-def test_member_whose_record_went_is_suspected_first_and_has_not_ended_while_it_responds() -> None:
+def test_member_whose_record_was_deleted_is_suspected_and_has_not_ended_while_it_responds() -> None:
     detector = detector_of()
     detector.record_health_check(SECOND_US, key(1), 1, succeeded=True)
-    miss(detector, SECOND_US, 2)
+    fail_check(detector, SECOND_US, 2)
     detector.update_member(SECOND_US, key(1), None)
     detector.update_member(SECOND_US, key(2), None)
     assert state_of(detector, 2 * SECOND_US, 1) is MemberState.SUSPECTED
@@ -93,29 +94,30 @@
 
 def test_new_incarnation_is_alive_and_records_of_older_ones_change_nothing() -> None:
     detector = detector_of()
-    miss(detector, SECOND_US, 2)
+    fail_check(detector, SECOND_US, 2)
     detector.update_member(SECOND_US, key(2), None)
     assert state_of(detector, 5 * SECOND_US, 2) is MemberState.ENDED
 
     detector.update_member(6 * SECOND_US, key(2), member(2, incarnation="later", generation=2))
     detector.update_member(6 * SECOND_US, key(2), member(2))
-    miss(detector, 6 * SECOND_US, 2)  # a contact with the older incarnation
+    # This health check was sent to the older incarnation.
+    fail_check(detector, 6 * SECOND_US, 2)
 
     assert state_of(detector, 6 * SECOND_US, 2) is MemberState.ALIVE
     assert detector.tracked[key(2)].failed_checks == 0
 
 
 @pytest.mark.parametrize("count", [3, 1_100])
-def test_contacts_go_round_all_members_at_the_same_rate_in_any_fleet(count: int) -> None:
+def test_all_members_are_checked_in_turn_at_the_same_rate_in_any_fleet(count: int) -> None:
     detector = detector_of(count)
     interval_us = SECOND_US // 10
-    contacts = 2 * (count - 1)
+    check_count = 2 * (count - 1)
 
-    contacted = [detector.next_member_to_check(number * interval_us) for number in range(contacts)]
+    checked = [detector.next_member_to_check(number * interval_us) for number in range(check_count)]
 
-    names = [found.name for found in contacted if found is not None]
+    names = [member.name for member in checked if member is not None]
     assert sorted(names) == sorted(2 * [f"m{number}" for number in range(1, count)])
-    assert detector.next_member_to_check((contacts - 1) * interval_us + 1) is None
+    assert detector.next_member_to_check((check_count - 1) * interval_us + 1) is None
 
 
 def test_report_keeps_its_encoded_names() -> None:
