--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Checkers of histories: those in order pass, and each broken rule is found and shown."""
+"""Tests of the checkers of histories: valid histories pass, and violations are found and described."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class HistoryBuilder:
-    """Builds a history of one key call by call; `at` is when a call was invoked and when it completed."""
+    """Builds a history of one key call by call. `at` holds the times of its invocation and completion."""
 
     def __init__(self) -> None:
         self.entries: list[HistoryEntry] = []
@@ -54,7 +54,7 @@
         result: Committed | CommitRejected | None,
         session_id: str = "",
     ) -> HistoryBuilder:
-        """A commit by the process that its id names; without a result its outcome is unknown."""
+        """Appends a commit of the process that its id begins with. Without a result its outcome is open."""
         process, _, _ = commit_id.partition(":")
         change = RequestedChange(KEY, expects, session_id)
         invocation = self._invoke(process, at[0], StoreCall.COMMIT)
@@ -68,7 +68,7 @@
         return self
 
     def read(self, process: str, *, at: tuple[int, int], shows: RecordState) -> HistoryBuilder:
-        """A full read."""
+        """Appends a full read that returned the state `shows`."""
         invocation = self._invoke(process, at[0], StoreCall.READ)
         shown = () if shows == ABSENT else observed(shows)
         self._complete(invocation, at[1], CallOutcome.READ, shows[0], shown)
@@ -120,7 +120,7 @@
             .commit("a:1", at=(0, 9), expects=0, result=Committed(2))
             .read("b", at=(1, 3), shows=ABSENT)
             .read("b", at=(4, 6), shows=(2, "a:1")),
-            id="overlapping calls have any order",
+            id="overlapping calls may have any order",
         ),
         pytest.param(
             history()
@@ -140,11 +140,11 @@
             history()
             .commit("a:1", at=(0, 1), expects=0, result=Committed(2), session_id="s")
             .read("b", at=(5, 6), shows=ABSENT),
-            id="a record goes with its session",
+            id="a record is deleted with its session",
         ),
     ],
 )
-def test_history_that_some_order_explains_has_no_violation(builder: HistoryBuilder) -> None:
+def test_history_with_a_linearizable_order_has_no_violation(builder: HistoryBuilder) -> None:
     assert not builder.violations()
 
 
@@ -176,7 +176,7 @@
         pytest.param(
             history().read("b", at=(0, 1), shows=(4, "nobody:1")),
             "read saw (4, 'nobody:1')",
-            id="record that nobody wrote",
+            id="record that no process wrote",
         ),
         pytest.param(
             history()
@@ -191,11 +191,11 @@
             .read("b", at=(5, 6), shows=(2, "a:1"))
             .read("b", at=(7, 8), shows=ABSENT),
             "read saw (0",
-            id="record that vanished",
+            id="record that disappeared",
         ),
     ],
 )
-def test_history_that_no_order_explains_is_shown_in_few_operations(
+def test_history_without_a_linearizable_order_is_reduced_to_few_operations(
     builder: HistoryBuilder, message: str
 ) -> None:
     (violation,) = builder.violations()
@@ -203,7 +203,7 @@
     assert len(violation.operations) <= 3
 
 
-def test_violation_leaves_out_operations_that_have_no_part_in_it() -> None:
+def test_violation_leaves_out_unrelated_operations() -> None:
     builder = history()
     for number in range(30):
         period = (10 * number, 10 * number + 5)
@@ -218,7 +218,7 @@
 
 
 def serial_history(steps: list[tuple[int, bool]]) -> tuple[HistoryBuilder, list[RecordState]]:
-    """A history in order, one call after the other by three processes, and the states it went through."""
+    """Returns a valid history of sequential calls by three processes, and its sequence of states."""
     builder = history()
     state = ABSENT
     states = [state]
@@ -238,7 +238,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2), st.booleans()), min_size=3, max_size=25), st.data())
-def test_serial_history_passes_and_with_one_altered_read_does_not(
+def test_serial_history_passes_and_fails_once_a_read_is_altered(
     steps: list[tuple[int, bool]], data: st.DataObject
 ) -> None:
     builder, states = serial_history(steps)
@@ -273,31 +273,31 @@
 
 
 class TestEffects:
-    in_order: tuple[HistoryEntry, ...] = (
+    valid_effects: tuple[HistoryEntry, ...] = (
         effect(1, 1, "a", "x"),
         effect(2, 2, "b", "y"),
         effect(3, 1, "a", "z", process="other"),
     )
 
-    def test_effects_in_order_pass(self) -> None:
-        assert not find_fencing_violations(self.in_order)
-        assert not find_duplicate_effects(self.in_order)
+    def test_valid_effects_pass(self) -> None:
+        assert not find_fencing_violations(self.valid_effects)
+        assert not find_duplicate_effects(self.valid_effects)
 
     def test_older_generation_is_found(self) -> None:
-        (violation,) = find_fencing_violations([*self.in_order, effect(4, 1, "a", "w")])
+        (violation,) = find_fencing_violations([*self.valid_effects, effect(4, 1, "a", "w")])
         assert "generation 1 took effect after 2" in str(violation)
         assert len(violation.effects) == 2
 
     def test_second_holder_of_a_generation_is_found(self) -> None:
-        (violation,) = find_fencing_violations([*self.in_order, effect(4, 2, "c", "w")])
+        (violation,) = find_fencing_violations([*self.valid_effects, effect(4, 2, "c", "w")])
         assert "for two holders" in str(violation)
 
     def test_item_that_took_effect_twice_is_found(self) -> None:
-        (violation,) = find_duplicate_effects([*self.in_order, effect(4, 2, "b", "x", process="other")])
+        (violation,) = find_duplicate_effects([*self.valid_effects, effect(4, 2, "b", "x", process="other")])
         assert "x took effect twice" in str(violation)
 
 
-def test_line_cut_off_by_a_kill_is_left_out_and_a_malformed_one_gives_no_verdict(tmp_path: Path) -> None:
+def test_line_truncated_by_a_kill_is_left_out_and_a_malformed_line_is_an_error(tmp_path: Path) -> None:
     path = tmp_path / "a.jsonl"
     writer = HistoryWriter(path, "a", max_entries=3)
     writer(ProcessEvent(1, "a", "one"))
@@ -310,7 +310,7 @@
         load_history([path])
 
 
-def test_history_that_reached_its_bound_gives_no_verdict(tmp_path: Path) -> None:
+def test_history_that_reached_its_bound_is_an_error(tmp_path: Path) -> None:
     path = tmp_path / "b.jsonl"
     writer = HistoryWriter(path, "b", max_entries=3)
     for number in range(5):
@@ -386,5 +386,5 @@
         (CallOutcome, ["done", "refused", "read", "watched", "none", "unknown"]),
     ],
 )
-def test_stored_values_stay(enum: type[StoreCall | CallOutcome], stored: list[str]) -> None:
+def test_enums_keep_their_stored_values(enum: type[StoreCall | CallOutcome], stored: list[str]) -> None:
     assert [member.value for member in enum] == stored
