--- a/gradehoist/governor/cell_changes.py
+++ b/gradehoist/governor/cell_changes.py
@@ -1,4 +1,7 @@
-"""What changed in each cell, kept as states with the count of their last change. No I/O."""
+"""Records the version at which each weight, restoration and admission of a cell last changed.
+
+The version of a cell is the number of orders that it has had so far. This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,53 +16,53 @@
 
 
 class ChangeLog(Generic[Key]):
-    """Keys in the order of their last change, each with the count of that change."""
+    """Keys in the order of their last change, each with the version of that change."""
 
     def __init__(self) -> None:
-        """Starts without changes."""
-        self._counts: dict[Key, int] = {}
+        """Creates an empty log."""
+        self._versions: dict[Key, int] = {}
 
     def __len__(self) -> int:
-        """Number of keys."""
-        return len(self._counts)
+        """Returns the number of keys."""
+        return len(self._versions)
 
     @property
-    def last_count(self) -> int:
-        """The count of the latest change; 0 if there is none."""
-        return next(reversed(self._counts.values()), 0)
+    def last_version(self) -> int:
+        """The version of the latest change; 0 if there is none."""
+        return next(reversed(self._versions.values()), 0)
 
-    def record(self, key: Key, count: int) -> None:
-        """Notes a change of `key`, which becomes the latest one."""
-        self._counts.pop(key, None)
-        self._counts[key] = count
+    def record(self, key: Key, version: int) -> None:
+        """Records a change of `key`, which becomes the latest change."""
+        self._versions.pop(key, None)
+        self._versions[key] = version
 
     def discard(self, key: Key) -> None:
-        """Forgets a key."""
-        self._counts.pop(key, None)
+        """Removes a key; a key that is not present is ignored."""
+        self._versions.pop(key, None)
 
-    def since(self, count: int) -> Iterator[Key]:
-        """The keys that changed after `count`, the latest first, without a look at the older ones."""
-        return (key for key, _ in takewhile(lambda item: item[1] > count, reversed(self._counts.items())))
+    def since(self, version: int) -> Iterator[Key]:
+        """Yields the keys that changed after `version`, the latest first, without visiting older keys."""
+        return (key for key, _ in takewhile(lambda item: item[1] > version, reversed(self._versions.items())))
 
-    def drop_until(self, count: int) -> None:
-        """Forgets the changes up to `count`."""
-        self._counts = {key: changed for key, changed in self._counts.items() if changed > count}
+    def drop_until(self, version: int) -> None:
+        """Removes the keys whose last change is not later than `version`."""
+        self._versions = {key: changed for key, changed in self._versions.items() if changed > version}
 
     def __iter__(self) -> Iterator[Key]:
-        """All keys, the earliest change first."""
-        return iter(self._counts)
+        """Iterates over all keys, the earliest change first."""
+        return iter(self._versions)
 
 
 @dataclass(frozen=True, slots=True)
 class RestoredReplica:
-    """A replica that is no longer withdrawn."""
+    """Key of a replica whose withdrawal was revoked."""
 
     replica: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChangedAdmission:
-    """The admission of a class in one table, or everywhere (None)."""
+    """Key of the admission of a class in one table, or in all tables (None)."""
 
     table: int | None
     request_class: int
@@ -70,46 +73,46 @@
     """The changes of one cell.
 
     Attributes:
-        count: number of orders so far.
-        cleared: by table: the count of its last clearing.
-        weights: by table and replica: the count of the weight's last change.
-        latest: restorations and admission.
+        version: number of orders so far.
+        cleared: the version at which each table was last cleared.
+        weights: the version at which each weight last changed, by table and replica.
+        latest: the restorations and admissions, by their last change.
     """
 
-    count: int = 0
+    version: int = 0
     cleared: dict[int, int] = field(default_factory=dict)
     weights: dict[int, dict[int, int]] = field(default_factory=dict)
     latest: ChangeLog[RestoredReplica | ChangedAdmission] = field(default_factory=ChangeLog)
 
     def record(self, order: Order) -> None:
-        """Notes an order of this cell, in the governor's indices."""
-        self.count += 1
+        """Records an order of this cell, which uses the governor's indices."""
+        self.version += 1
         match order:
             case SetWeight(table=table, replica=replica):
-                self.weights.setdefault(table, {})[replica] = self.count
+                self.weights.setdefault(table, {})[replica] = self.version
             case ClearTable(table=table):
                 self._clear_table(table)
             case WithdrawReplica(replica=replica, withdrawn=True):
                 self.latest.discard(RestoredReplica(replica))
             case WithdrawReplica(replica=replica, withdrawn=False):
-                self.latest.record(RestoredReplica(replica), self.count)
+                self.latest.record(RestoredReplica(replica), self.version)
             case SetAdmission(table=at, classes=classes):
                 for request_class in classes:
-                    self.latest.record(ChangedAdmission(at, request_class), self.count)
+                    self.latest.record(ChangedAdmission(at, request_class), self.version)
 
-    def drop_until(self, count: int) -> None:
-        """Forgets what changed up to `count`, as no proxy waits for it any more."""
+    def drop_until(self, version: int) -> None:
+        """Removes the changes up to `version`, which every proxy has been sent."""
         for table in list(self.weights):
-            kept = {replica: changed for replica, changed in self.weights[table].items() if changed > count}
+            kept = {replica: changed for replica, changed in self.weights[table].items() if changed > version}
             if kept:
                 self.weights[table] = kept
             else:
                 del self.weights[table]
-        self.latest.drop_until(count)
-        self.cleared = {table: changed for table, changed in self.cleared.items() if changed > count}
+        self.latest.drop_until(version)
+        self.cleared = {table: changed for table, changed in self.cleared.items() if changed > version}
 
     def _clear_table(self, table: int) -> None:
-        self.cleared[table] = self.count
+        self.cleared[table] = self.version
         self.weights.pop(table, None)
         for key in list(self.latest):
             if isinstance(key, ChangedAdmission) and key.table == table:
--- a/gradehoist/governor/cell_publisher.py
+++ b/gradehoist/governor/cell_publisher.py
@@ -1,14 +1,14 @@
-"""The publisher of a governor with cells: the policies of all cells share the channel. No I/O.
+"""The publisher of a governor with cells, whose policies share the channel. This module does no I/O.
 
-Withdrawals go at once. All else is sent slot by slot, to the proxies that have waited longest, as far as the
-shares of the channel allow.
+Withdrawals are sent at once. All other changes are sent once per time slot, first to the proxies that have
+waited longest, as far as each cell's share of the channel allows.
 """
 
 from __future__ import annotations
 
 from gradehoist.cells.channel_shares import ChannelShares
 from gradehoist.governor.channel import Channel
-from gradehoist.governor.delivery_queue import Delivery, DeliveryQueue
+from gradehoist.governor.delivery_queue import DeliveryQueue, PendingDelivery
 from gradehoist.governor.event_log import EventLog
 from gradehoist.governor.policy_instances import PolicyRevision, PolicySet
 from gradehoist.governor.proxy_streams import ProxyStream
@@ -17,15 +17,16 @@
 from gradehoist.interface import Order, ProxyLeft, RequestAcknowledgement
 from gradehoist.protocol.feed import Message, TenantMigrated, apply_migration
 
-MESSAGES_PER_CALL = 16  # 5 ms on average while a hundred cells bind a thousand proxies
+# A call of this many messages takes 5 ms on average while a hundred cells bind a thousand proxies.
+MESSAGES_PER_CALL = 16
 
 
 class CellPublisher(Publisher):
-    """Sends each proxy what has changed in its cells since the last message.
+    """Sends each proxy the changes of its cells since the last message.
 
     Attributes:
-        delivery_queue: what each proxy has yet to be sent.
-        unintroduced: proxies that the policies do not know yet, with their requests a second.
+        delivery_queue: the changes that each proxy has not been sent yet.
+        unintroduced: the requests per second of the proxies that the policies do not know yet.
     """
 
     def __init__(
@@ -36,15 +37,15 @@
         log: EventLog,
         budget: ChannelShares,
     ) -> None:
-        """`budget` shares the channel among the cells."""
+        """Creates a publisher without proxies; `budget` divides the channel among the cells."""
         super().__init__(tables, channel, policies, log)
         self.delivery_queue = DeliveryQueue(tables, policies, budget)
         self.unintroduced: dict[int, float] = {}
-        self._served: set[int] = set()  # proxies that were sent a message in this slot
-        self._concerned: dict[int, None] = {}  # proxies that the current reply concerns
+        self._served: set[int] = set()  # proxies that have been sent a message in this slot
+        self._affected: dict[int, None] = {}  # proxies that the current reply affects
 
     def add_proxy(self, stream: ProxyStream, request_rate: float) -> None:
-        """Adds a proxy that has joined; the policies learn of it in one of the next slots."""
+        """Adds a proxy that has joined; the policies are told of it in one of the next slots."""
         self.streams[stream.proxy] = stream
         self.channel.add_proxy(stream.proxy)
         self.tables.add_proxy(stream.proxy)
@@ -62,27 +63,27 @@
             self._policies.broadcast(ProxyLeft(proxy))
 
     def apply(self, policy: int, order: Order) -> bool:
-        """Applies an order in the governor's indices."""
-        self._concerned.update(dict.fromkeys(self.delivery_queue.apply(policy, order)))
+        """Applies an order that uses the governor's indices."""
+        self._affected.update(dict.fromkeys(self.delivery_queue.apply(policy, order)))
         return True
 
     def finish_reply(self, policy: int, request: RequestAcknowledgement | None, now_us: int) -> None:
-        """Ends the reply of one policy: the proxies concerned, or all, wait for its cell."""
-        self.delivery_queue.finish_reply(policy, request, self._concerned, now_us)
-        self._concerned = {}
+        """Ends the reply of one policy and queues its cell for the affected proxies, or for all proxies."""
+        self.delivery_queue.finish_reply(policy, request, self._affected, now_us)
+        self._affected = {}
 
     def finish_replies(self, now_us: int) -> None:
-        """Sends withdrawals at once."""
+        """Ends the replies of one time and sends their withdrawals at once."""
         self._send_withdrawals(now_us)
 
-    def tend_backlog(self) -> None:
-        """Forgets changes that no proxy waits for any more."""
+    def maintain_backlog(self) -> None:
+        """Drops changes that have been sent to every proxy; called about once a second."""
         self.delivery_queue.drop_delivered()
 
     def migrate_tenant(self, tenant: str, cell: str, generation: int) -> bool:
-        """Opens a tenant in a cell, or closes it if that is empty.
+        """Opens a tenant in a cell, or closes the tenant if the cell is empty.
 
-        Every proxy waits for the change, so that fifty migrations at once are still one message.
+        The change is queued for every proxy, so fifty simultaneous migrations still need only one message.
         """
         if self.tables.route is None:
             return False
@@ -92,10 +93,10 @@
         return True
 
     def publish_slot(self, now_us: int, *, replica_count: int, is_continuation: bool) -> bool:
-        """Sends what proxies wait for, in turn, as far as the budget allows.
+        """Sends queued changes to the proxies in turn, as far as the budget allows.
 
-        Returns True if it stopped half way, so that others can run; it has to be called again as a
-        continuation.
+        Returns True if it stopped early so that other tasks can run. The caller then has to call it again
+        with `is_continuation`.
         """
         if not is_continuation:
             self._begin_slot(now_us, replica_count)
@@ -123,35 +124,39 @@
         self.delivery_queue.budget.decay_usage()
 
     def _introduce_proxies(self, replica_count: int) -> None:
-        """Introduces proxies that have joined to the policies, those with most traffic first.
+        """Introduces proxies that have joined to the policies, those with the most traffic first.
 
-        A proxy that joins takes a table from each cell. The policies learn of no more at once than the
-        channel can bind: with a thousand, each planned for all of them at every step, ten seconds long.
-        Until then a proxy is sent withdrawals, and keeps the tables that it has.
+        A proxy that joins is sent a table of each cell. The policies are told of no more proxies at a time
+        than the channel can bind: when a thousand joined at once, every policy planned for all of them at
+        each step, which took ten seconds. Until it is introduced, a proxy is sent withdrawals and keeps the
+        tables that it has.
         """
         backlogs = self.delivery_queue.backlogs
         class_count = len(self.tables.identifiers.classes)
-        being_bound = sum(
+        binding_count = sum(
             backlog.is_introduced
             and (bool(backlog.pending_binds) or len(self.tables.bindings[proxy]) < class_count)
             for proxy, backlog in backlogs.items()
         )
-        room = max(0, self._max_being_bound(replica_count) - being_bound)
+        room = max(0, self._max_binding_count(replica_count) - binding_count)
         by_traffic = sorted(self.unintroduced, key=lambda proxy: -self.unintroduced[proxy])
         for proxy in by_traffic[:room]:
             zone = self.streams[proxy].zone
             self._policies.introduce_proxy(proxy, zone, self.unintroduced.pop(proxy))
             backlogs[proxy].is_introduced = True
 
-    def _max_being_bound(self, replica_count: int) -> int:
-        """How many proxies may wait for their tables at one time: twice as many as the channel holds."""
+    def _max_binding_count(self, replica_count: int) -> int:
+        """Returns how many proxies may be waiting for tables: twice as many as the channel can hold."""
         class_count = len(self.tables.identifiers.classes)
         lines_per_proxy = (replica_count * self._policies.class_count + class_count) or 1
         available_lines = self.delivery_queue.budget.available_lines(len(self.streams), 0.0)
         return max(1, int(2 * available_lines / lines_per_proxy))
 
     def _send_withdrawals(self, now_us: int) -> str:
-        """Sends withdrawals to all proxies, with whatever else fits; empty, or why one was rejected."""
+        """Sends withdrawals to all proxies, with other changes that fit.
+
+        Returns why the channel rejected a message, or an empty string if it rejected none.
+        """
         rejection = ""
         for proxy in self.delivery_queue.urgent_proxies():
             delivery = self.delivery_queue.next_delivery(
@@ -166,13 +171,14 @@
         return self.delivery_queue.budget.allows_message(self.channel.count_messages(now_us, proxy))
 
     def _send_ordinary(self, now_us: int, proxy: int) -> bool:
-        """Sends a proxy its next message; False if the channel has no room for it in this slot."""
+        """Sends a proxy its next message; returns False if the channel has no capacity now."""
         available_lines = self._available_lines()
         if available_lines <= self.tables.message_overhead_lines and self.channel.waiting_lines:
             return False
         delivery = self.delivery_queue.next_delivery(proxy, urgent=False, available_lines=available_lines)
         if delivery.cost_lines > available_lines and self.channel.waiting_lines:
-            return False  # a message that is larger than the room goes alone, when its turn comes
+            # A message larger than the available capacity is sent once the channel is empty.
+            return False
         self._send(now_us, proxy, delivery)
         self._served.add(proxy)
         return True
@@ -181,11 +187,14 @@
         budget = self.delivery_queue.budget
         return budget.available_lines(len(self.streams), self.channel.waiting_lines)
 
-    def _send(self, now_us: int, proxy: int, delivery: Delivery) -> str:
-        """Puts a message on the channel; empty, or why it is rejected. What is rejected stays due."""
+    def _send(self, now_us: int, proxy: int, delivery: PendingDelivery) -> str:
+        """Puts a message on the channel; returns why it was rejected, or an empty string.
+
+        The changes of a rejected message stay queued.
+        """
         stream = self.streams[proxy]
         if stream.resync_reason:
-            return ""  # the resync that is due holds all of it
+            return ""  # the pending resync will include these changes
         if delivery.deltas or delivery.revisions:
             rejection = self.channel.rejection_reason(now_us, proxy, delivery.cost_lines)
             if rejection is not None:
@@ -194,7 +203,7 @@
         self.delivery_queue.mark_delivered(proxy, delivery)
         return ""
 
-    def _put(self, now_us: int, stream: ProxyStream, delivery: Delivery) -> None:
+    def _put(self, now_us: int, stream: ProxyStream, delivery: PendingDelivery) -> None:
         revisions = tuple(pending.revision for pending in delivery.revisions)
         ordered_us = min((pending.ordered_us for pending in delivery.revisions), default=now_us)
         message = Message(
--- a/gradehoist/governor/cell_stats.py
+++ b/gradehoist/governor/cell_stats.py
@@ -1,4 +1,7 @@
-"""What a governor has heard of each cell, for its status page and for staged rollouts. No I/O."""
+"""Counters of each cell from load reports, for the HTTP status and staged rollouts.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
     """Counts of one cell since the governor's start.
 
     Attributes:
-        requests: requests that came to proxies.
+        requests: requests that proxies received.
         incomplete: requests that were not completed.
         attempts: attempts at the cell's replicas.
         failures: attempts that failed.
@@ -31,7 +34,7 @@
     """Counters of all cells, and the load that their replicas last reported. The core owns it."""
 
     def __init__(self, cells: tuple[str, ...], cell_by_replica: Mapping[str, str]) -> None:
-        """Starts all counters at 0."""
+        """Creates counters of 0 for all cells."""
         self.counters = {cell: CellCounters() for cell in cells}
         self.busy_shares: dict[str, float] = {}  # by replica
         self._cell_by_replica = cell_by_replica
@@ -41,7 +44,7 @@
         }
 
     def add(self, report: ProxyLoadReport) -> None:
-        """Counts a load report that was accepted; replicas of no cell are left out."""
+        """Adds an accepted load report; rows of replicas that belong to no cell are skipped."""
         for row in report.attempts:
             cell = self._cell_by_replica.get(row.replica)
             if not cell:
@@ -58,7 +61,7 @@
             counters.incomplete += offered.incomplete
 
     def status(self, endpoints: Mapping[str, EndpointRecord]) -> dict[str, dict[str, float]]:
-        """The `cells` object of the HTTP status: by cell its counts, replicas, mean load and headroom."""
+        """Returns the `cells` object of the HTTP status: by cell its counters, load and headroom."""
         return {cell: self._cell_status(cell, endpoints) for cell in self.counters}
 
     def _cell_status(self, cell: str, endpoints: Mapping[str, EndpointRecord]) -> dict[str, float]:
--- a/gradehoist/governor/channel.py
+++ b/gradehoist/governor/channel.py
@@ -1,7 +1,8 @@
-"""The channel to the proxies: one ordered writer with a stated rate and a queue limit. No I/O.
+"""The channel to the proxies: one FIFO queue with a configured rate and a queue limit.
 
-A message is released when its lines have been paced out at the stated rate. A message that would exceed a
-limit is rejected, and the caller owes that proxy a full resync: nothing is dropped silently.
+A message is released once its lines have been transmitted at the configured rate. A message that would exceed
+a limit is rejected, and the caller has to send that proxy a full resync later: nothing is dropped silently.
+This module does no I/O.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 
 from gradehoist.protocol.feed import Message
 
-MIN_MEASURED_US = 100_000  # shorter busy periods measure the timers rather than the rate
+MIN_MEASURED_US = 100_000  # in shorter busy periods, timer inaccuracy dominates the measured rate
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedMessage:
-    """A message on its way to a proxy's stream.
+    """A message in the queue.
 
     Attributes:
         proxy: the proxy's index.
         stream: number of the stream that the message belongs to.
         message: the message.
-        queued_us: when it was put.
-        transmit_us: how long its lines take at the stated rate.
-        release_us: when its last line is out.
+        queued_us: when the message was queued.
+        transmit_us: how long its lines take at the configured rate.
+        release_us: when its last line has been transmitted.
     """
 
     proxy: int
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _BusyPeriod:
-    """A time in which the queue was never empty: its start and the lines released since."""
+    """A period in which the queue was never empty: its start and the lines released since then."""
 
     since_us: int
     lines: float
@@ -50,13 +51,16 @@
         waiting_lines: lines in the queue.
         peak_lines: the most lines that were ever in the queue.
         sent_lines: lines released so far.
-        measured_lines_per_s: rate of the last busy period that was long enough to measure.
+        measured_lines_per_s: release rate of the last busy period that was long enough to measure.
     """
 
     def __init__(
         self, *, queue_limit_lines: float, lines_per_s: float, messages_per_window: int, window_us: int
     ) -> None:
-        """`messages_per_window` limits the messages to one proxy within `window_us`; 0 means no limit."""
+        """Creates an empty queue.
+
+        `messages_per_window` limits the messages to one proxy within `window_us`; 0 means no limit.
+        """
         self.queue_limit_lines = queue_limit_lines
         self.lines_per_s = lines_per_s
         self.messages_per_window = messages_per_window
@@ -67,18 +71,18 @@
         self.measured_lines_per_s = lines_per_s
         self._queue = deque[QueuedMessage]()
         self._put_times_us: dict[int, deque[int]] = {}
-        self._idle_from_us = 0  # when all that was put is out
+        self._idle_from_us = 0  # when the last queued message has been transmitted
         self._now_us = 0
         self._busy: _BusyPeriod | None = None
 
     def add_proxy(self, proxy: int) -> None:
-        """Starts to count the messages of a proxy that has joined."""
+        """Starts counting the messages of a proxy that has joined."""
         self._put_times_us[proxy] = deque()
 
     def remove_proxy(self, proxy: int) -> None:
-        """Drops what waits for a proxy that has left; the messages behind move up.
+        """Drops the queued messages of a proxy that has left; later messages are released earlier.
 
-        Without that, one proxy that joined again twenty times a second delayed withdrawals for all others.
+        Without this, one proxy that rejoined twenty times a second delayed the withdrawals of all others.
         """
         self._put_times_us.pop(proxy, None)
         kept = [item for item in self._queue if item.proxy != proxy]
@@ -93,14 +97,14 @@
         self.waiting_lines = sum(item.message.cost_lines for item in kept)
 
     def count_messages(self, now_us: int, proxy: int) -> int:
-        """How many messages were put for the proxy within the window that ends now."""
+        """Returns how many messages were queued for the proxy within the window that ends now."""
         times = self._put_times_us.get(proxy, deque())
         while times and times[0] <= now_us - self.window_us:
             times.popleft()
         return len(times)
 
     def rejection_reason(self, now_us: int, proxy: int, cost_lines: float) -> str | None:
-        """Why a message of this cost would be rejected now; None if it would be accepted."""
+        """Returns why a message of this cost would be rejected now; None if it would be accepted."""
         if proxy not in self._put_times_us:
             return "the proxy has left"
         if self.messages_per_window and self.count_messages(now_us, proxy) >= self.messages_per_window:
@@ -110,7 +114,7 @@
         return None
 
     def put(self, now_us: int, proxy: int, stream: int, message: Message) -> str | None:
-        """Queues the message and returns None, or returns the reason for which it is rejected."""
+        """Queues the message and returns None, or returns the reason why it is rejected."""
         if reason := self.rejection_reason(now_us, proxy, message.cost_lines):
             return reason
         self._busy = self._busy or _BusyPeriod(since_us=now_us, lines=0.0)
@@ -133,7 +137,7 @@
         return None
 
     def take_released(self, now_us: int) -> list[QueuedMessage]:
-        """Removes and returns the messages that are out by now, in the order in which they were put."""
+        """Removes and returns the messages that have been transmitted by now, in queue order."""
         self._now_us = now_us
         released: list[QueuedMessage] = []
         while self._queue and self._queue[0].release_us <= now_us:
@@ -143,12 +147,12 @@
             released.append(item)
         self._measure_rate(now_us, released)
         if not self._queue:
-            self.waiting_lines = 0.0  # sums of floats drift
+            self.waiting_lines = 0.0  # removes the accumulated floating-point error
             self._busy = None
         return released
 
     def next_release_us(self) -> int | None:
-        """When the first message in the queue is out; None while the queue is empty."""
+        """Returns when the first queued message is released; None while the queue is empty."""
         return self._queue[0].release_us if self._queue else None
 
     def _measure_rate(self, now_us: int, released: list[QueuedMessage]) -> None:
--- a/gradehoist/governor/core.py
+++ b/gradehoist/governor/core.py
@@ -1,7 +1,8 @@
-"""One governor without I/O: polls, load reports, endpoint lists and timers in, answers and log events out.
+"""The state machine of one governor, which does no I/O.
 
-The caller runs the policies: `take_batches` gives the events that they are due, and `apply_replies` takes
-their orders. All times are whole microseconds of one monotonic clock.
+Its inputs are polls, load reports, endpoint lists, health checks and the time; its outputs are answers to
+polls and log events. The caller runs the policies: `take_batches` returns their pending events, and
+`apply_replies` takes their orders. All times are integer microseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Timer:
-    """A timer of a policy; those of one time fire in the order of policy and token."""
+    """A timer of a policy; timers that are due at the same time fire in the order of policy and token."""
 
     due_us: int
     policy: int
@@ -47,21 +48,21 @@
 
 
 class GovernorCore:
-    """The state of one governor. Its shell calls `advance` when `next_due_us` has come.
+    """The state of one governor. The service calls `advance` at the time that `next_due_us` returns.
 
     Attributes:
-        epoch: name of this start of the governor.
-        slot_us: length of the time slots of publishing; 0 without cells.
-        has_urgent_change: whether a drain or exit was listed that must not wait for the slot; the shell
-            clears it.
+        epoch: identifier of this run of the governor.
+        slot_us: length of a publishing time slot; 0 without cells.
+        has_urgent_change: whether the list reports a draining or gone replica that must not wait for the
+            slot; the service clears it.
         endpoints_subscribed: whether the policies want each change of the endpoint list.
-        endpoints_requested: whether they want the complete list.
-        pending_health_checks: replicas to check; the shell clears it.
-        log: events to be written.
+        endpoints_requested: whether the policies want the complete list.
+        pending_health_checks: replicas to check; the service clears it.
+        log: events that have not been written yet.
     """
 
     def __init__(self, fleet: FleetSettings, settings: GovernorSettings, epoch: str, now_us: int) -> None:
-        """Starts the governor of these settings; nothing of an earlier start is known to it."""
+        """Creates the state of a governor that has just started and has no state of an earlier run."""
         state = make_core_state(fleet, epoch, now_us)
         self.fleet = fleet
         self.epoch = epoch
@@ -86,28 +87,28 @@
 
     @property
     def streams(self) -> Mapping[int, ProxyStream]:
-        """The streams of the proxies that are here, by proxy."""
+        """The streams of the connected proxies, by proxy."""
         return self.publisher.streams
 
     # Proxies
 
     def handle_poll(self, now_us: int, poll: FeedPoll) -> PollResponse | None:
-        """The answer to a poll, or None while there is none.
+        """Returns the answer to a poll, or None while there are no messages for the proxy.
 
         Raises:
-            RequestRejectedError: the proxy can't be served here.
+            RequestRejectedError: this governor can't serve the proxy.
         """
         return self._sessions.handle_poll(now_us, poll)
 
     def remove_proxy(self, proxy: int, reason: str, stream_number: int | None = None) -> None:
-        """Ends a proxy's stream; with `stream_number`, only if the proxy has not joined again since."""
+        """Ends a proxy's stream; with `stream_number`, only if the proxy has not rejoined since."""
         self._sessions.remove_proxy(proxy, reason, stream_number)
 
     def handle_load_report(self, report: ProxyLoadReport) -> None:
-        """Takes a proxy's load report.
+        """Accepts a proxy's load report.
 
         Raises:
-            RequestRejectedError: nothing of the report is taken.
+            RequestRejectedError: the report is invalid, and none of it has been used.
         """
         self._sessions.handle_load_report(report)
         if self.cell_stats:
@@ -116,11 +117,11 @@
     # The endpoint list and health checks
 
     def handle_endpoint_list(self, now_us: int, update: EndpointListUpdate) -> bool:
-        """Takes an update of the endpoint list; False if it holds nothing new.
+        """Applies an update of the endpoint list; returns False if it contains no change.
 
         Raises:
-            EndpointListGapError: the complete list has to be requested.
-            InconsistentEndpointListError: the update cannot be true.
+            EndpointListGapError: the update does not follow the known version; request the complete list.
+            InconsistentEndpointListError: the update contradicts the known list.
         """
         change = self._endpoint_events.apply(now_us, update)
         if change is ListChange.URGENT:
@@ -128,21 +129,21 @@
         return change is not ListChange.NONE
 
     def load_cached_endpoints(self, now_us: int, records: tuple[EndpointRecord, ...]) -> None:
-        """Puts a list in force that was persisted before the start."""
+        """Loads a list that an earlier run persisted."""
         self._endpoint_events.load_cached(now_us, records)
 
     def handle_endpoint_request_failed(self) -> None:
-        """Tells the policies that the list which they requested could not be had."""
+        """Notifies the policies that the requested list could not be obtained."""
         self._endpoint_events.report_failure()
 
     def handle_health_check(
         self, replica: int, outcome: HealthCheckOutcome, elapsed_us: int, load: LoadReport | None
     ) -> None:
-        """Takes the outcome of a health check, with the load that the replica reported."""
+        """Passes the outcome of a health check, with the load that the replica reported, to its policies."""
         event = HealthChecked(replica=replica, outcome=outcome, elapsed_us=elapsed_us, load=load)
         self.policies.send_to_owner(self.identifiers.replicas.names[replica], event)
 
-    # What the fleet has agreed
+    # Decisions of the whole fleet
 
     def set_quotas(
         self,
@@ -150,7 +151,7 @@
         warmup_quotas: Mapping[str, float],
         admission_limits: Mapping[str, float],
     ) -> None:
-        """Gives the policies all quotas that the fleet agreed; names that are unknown here are left out."""
+        """Gives the policies all quotas that the fleet agreed on; unknown names are skipped."""
         zones = self.identifiers.zones
         replicas = self.identifiers.replicas
         class_names = [request_class.name for request_class in self.fleet.classes]
@@ -164,7 +165,7 @@
         self.policies.broadcast(event)
 
     def warming_up_replicas(self, now_us: int) -> tuple[str, ...]:
-        """Names of the replicas that are listed ready and still warm up, sorted."""
+        """Returns the sorted names of the replicas that are listed as ready and still warming up."""
         started_us = self.endpoint_list.start_times_us()
         warm_since_us = max(0, now_us - self.fleet.safety.warmup_us)
         return tuple(
@@ -176,7 +177,7 @@
         )
 
     def is_acknowledged(self, since_us: int) -> bool:
-        """Whether the policies know everything and all proxies acknowledged what was ordered by then."""
+        """Returns whether no events are pending and every order given up to `since_us` is acknowledged."""
         if self.has_pending_events:
             return False
         return not any(
@@ -184,7 +185,7 @@
         )
 
     def handle_migration(self, tenant: str, cell: str, generation: int) -> None:
-        """Opens a tenant in a cell, or closes it if that is empty."""
+        """Opens a tenant in a cell, or closes the tenant if the cell is empty."""
         if self.publisher.migrate_tenant(tenant, cell, generation):
             self.log.info(
                 "tenant_migrated" if cell else "tenant_closed",
@@ -197,7 +198,7 @@
     # Time
 
     def advance(self, now_us: int) -> set[int]:
-        """Does what is due; returns the proxies whose poll can now be answered."""
+        """Processes everything that is due; returns the proxies whose poll can now be answered."""
         self.publisher.send_resyncs(now_us)
         self._monitor.advance(now_us)
         ready = self.publisher.take_released(now_us)
@@ -210,33 +211,33 @@
         return ready
 
     def next_due_us(self) -> int:
-        """When `advance` has something to do next."""
+        """Returns when `advance` has to be called next."""
         due_us = self.load_reports.next_due_us()
         if self._timers:
             due_us = min(due_us, self._timers[0].due_us)
         release_us = self.publisher.channel.next_release_us()
         return due_us if release_us is None else min(due_us, release_us)
 
-    # The policies
+    # Policies
 
     @property
     def has_pending_events(self) -> bool:
-        """Whether any policy has events to be given."""
+        """Whether any policy has pending events."""
         return self.policies.has_pending_events
 
     def take_batches(self, urgent_only: bool = False) -> list[PolicyBatch]:
-        """Removes and returns the pending events; if `urgent_only`, of policies with a list update alone."""
+        """Removes and returns the pending events; with `urgent_only`, only of policies with a list update."""
         return self.policies.take_batches(urgent_only)
 
     def apply_replies(self, now_us: int, replies: Iterable[PolicyReply]) -> None:
-        """Takes the orders that the policies gave at one time and sends what goes at once."""
+        """Applies the orders that the policies gave at one time; sends those that need no slot."""
         self.publisher.begin_replies()
         for reply in replies:
             self._apply_reply(now_us, reply)
         self.publisher.finish_replies(now_us)
 
     def publish_slot(self, now_us: int, is_continuation: bool = False) -> bool:
-        """Sends what is due in a time slot; True if it has to be called again as a continuation."""
+        """Sends the messages of a time slot; returns True if it has to be called again as a continuation."""
         return self.publisher.publish_slot(
             now_us,
             replica_count=len(self.endpoint_list.endpoints),
@@ -262,7 +263,7 @@
         self.publisher.finish_reply(reply.policy, request, now_us)
 
     def _apply_local(self, now_us: int, policy: int, order: Order) -> bool:
-        """Applies an order that concerns this governor alone; False for one that proxies have to be sent."""
+        """Applies an order that affects only this governor; returns False if proxies have to be sent it."""
         match order:
             case CheckHealth(replica=replica):
                 self.pending_health_checks.append(replica)
--- a/gradehoist/governor/core_state.py
+++ b/gradehoist/governor/core_state.py
@@ -1,4 +1,7 @@
-"""The state that the parts of a governor's core share, and how it is made from the settings. No I/O."""
+"""The state that the parts of a governor's core share, and its construction from the settings.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -22,25 +25,27 @@
 from gradehoist.protocol.feed import RateLimitsDelta, TenantRoutes
 from gradehoist.settings.fleet import CellPlacement, FleetSettings, policy_config
 
-NO_CELLS = ("",)  # a fleet without cells is one unnamed cell that has every replica
+NO_CELLS = ("",)  # a fleet without cells is treated as one unnamed cell with all replicas
 MIN_SLOT_US = 10_000
-DEFAULT_MESSAGES_PER_WINDOW = 20  # sets the slot where the settings do not limit messages
-MIN_QUEUE_LINES_PER_PROXY = 4  # of one policy's share: a message to every proxy has to fit
+# The number of slots in a message window if the settings do not limit messages.
+DEFAULT_MESSAGES_PER_WINDOW = 20
+# Each policy's share of the queue has to fit a message to every proxy.
+MIN_QUEUE_LINES_PER_PROXY = 4
 
 
 @dataclass(frozen=True, slots=True)
 class CoreState:
-    """What the parts of one core share.
+    """The state that the parts of one core share.
 
     Attributes:
         fleet: settings of the fleet.
-        epoch: name of this start of the governor.
-        identifiers: of zones, kinds, classes, replicas and proxies.
+        epoch: identifier of this run of the governor.
+        identifiers: the indices of zones, kinds, classes, replicas and proxies.
         policies: the policies and their pending events.
-        publisher: the way to the proxies.
-        endpoint_list: the replicas.
-        load_reports: load reports on their way to the policies.
-        log: events to be written.
+        publisher: sends the policies' orders to the proxies.
+        endpoint_list: the known replicas.
+        load_reports: load reports that have not been passed to the policies yet.
+        log: events that have not been written yet.
     """
 
     fleet: FleetSettings
@@ -54,7 +59,7 @@
 
 
 def make_core_state(fleet: FleetSettings, epoch: str, now_us: int) -> CoreState:
-    """The state of a governor that has just started."""
+    """Returns the state of a governor that has just started."""
     log = EventLog()
     identifiers = _make_identifiers(fleet)
     policies = _make_policies(fleet)
@@ -72,12 +77,12 @@
 
 
 def _cell_names(fleet: FleetSettings) -> tuple[str, ...]:
-    """The cells of the fleet, one for each policy."""
+    """Returns the names of the cells, one for each policy."""
     return fleet.placement.cells if fleet.placement else NO_CELLS
 
 
 def _make_identifiers(fleet: FleetSettings) -> Identifiers:
-    """Identifiers with the zones, kinds and classes of the settings; each cell has classes of its own."""
+    """Returns the identifiers of the zones, kinds and classes; each cell has its own classes."""
     labels = [
         class_label(cell, request_class.name)
         for cell in _cell_names(fleet)
@@ -87,7 +92,7 @@
 
 
 def _make_policies(fleet: FleetSettings) -> PolicySet:
-    """The policies of the governor's cells."""
+    """Returns one policy for each cell."""
     placement = fleet.placement
     return PolicySet(
         [
@@ -103,16 +108,17 @@
 
 
 def make_policy_configs(fleet: FleetSettings, identifiers: Identifiers, seed: int) -> list[PolicyConfig]:
-    """The configuration of each policy; seeds follow one another from `seed`."""
+    """Returns the configuration of each policy; their seeds are consecutive from `seed`."""
     cell_count = len(_cell_names(fleet))
     channel = _policy_channel(fleet, cell_count)
     return [policy_config(fleet, identifiers, seed + number, channel) for number in range(cell_count)]
 
 
 def publishing_slot_us(fleet: FleetSettings) -> int:
-    """How long a time slot of publishing is; 0 without cells, where replies are sent at once.
+    """Returns the length of a publishing time slot; 0 without cells, where replies are sent at once.
 
-    Cells share their messages: they answer together, as often as a proxy may be sent a message.
+    A message holds the changes of several cells, so all policies reply together, as often as the message
+    limit allows a message to a proxy.
     """
     if not fleet.placement:
         return 0
@@ -123,7 +129,7 @@
 def _make_publisher(
     fleet: FleetSettings, identifiers: Identifiers, policies: PolicySet, log: EventLog
 ) -> Publisher:
-    """The publisher for the fleet, with its channel and tables."""
+    """Returns the publisher for the fleet, with its channel and tables."""
     limits = fleet.channel
     placement = fleet.placement
     channel = Channel(
@@ -146,11 +152,11 @@
 
 
 def _policy_channel(fleet: FleetSettings, policy_count: int) -> ChannelLimits:
-    """One policy's own view of the channel.
+    """Returns the channel limits that one policy observes.
 
-    Of several policies each counts for itself alone what proxies have not acknowledged, and they share the
-    messages' overhead. Each gets an even part of the queue, but never less than a message to every proxy
-    takes, or it could notify none. The publisher keeps the limits of the whole.
+    Each policy counts only its own unacknowledged lines, and several policies share a message's overhead.
+    So each gets an equal share of the queue, but at least the lines of a message to every proxy: with less,
+    it could not notify all of them. The publisher enforces the limits of the whole channel.
     """
     limits = fleet.channel
     if policy_count == 1:
@@ -165,7 +171,7 @@
 
 
 def _tenant_routes(placement: CellPlacement) -> TenantRoutes:
-    """Where tenants live; only those are named that do not live where their hash says."""
+    """Returns the tenants' routes; only tenants outside the cell of their hash are listed by name."""
     ranges = placement.cell_by_range or placement.cells
     moved = {
         tenant: cell
--- a/gradehoist/governor/delivery_queue.py
+++ b/gradehoist/governor/delivery_queue.py
@@ -43,9 +43,9 @@
         pending_revisions: by cell: the newest one, which confirms all before.
     """
 
-    delivered: list[int]
-    delivered_withdrawals: int = 0
-    delivered_migrations: int = 0
+    delivered_versions: list[int]
+    delivered_withdrawals_version: int = 0
+    delivered_migrations_version: int = 0
     pending_cells: dict[int, None] = field(default_factory=dict)
     is_bound: bool = False
     is_introduced: bool = False
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class Delivery:
+class PendingDelivery:
     """One message that is being put together; `cell_costs`: what each cell in it costs, in lines."""
 
     deltas: list[Delta] = field(default_factory=list)
@@ -78,16 +78,17 @@
         self.budget = budget
         self.cells = [CellChanges() for _ in policies]
         self.backlogs: dict[int, ProxyBacklog] = {}  # by proxy, those first that have waited longest
-        self.change_count = 0
+        self.version = 0
         self._class_count = policies.class_count
         self._withdrawals = ChangeLog[int]()  # replicas
         self._migrations = ChangeLog[str]()  # tenants
-        self._last_swept = 0  # cell
+        self._last_swept_cell = 0  # cell
 
     def add_proxy(self, proxy: int) -> None:
         """Adds a proxy on a new stream; before it is bound it is sent withdrawals alone."""
         self.backlogs[proxy] = ProxyBacklog(
-            delivered=[cell.count for cell in self.cells], delivered_migrations=self.change_count
+            delivered_versions=[cell.version for cell in self.cells],
+            delivered_migrations_version=self.version,
         )
 
     def remove_proxy(self, proxy: int) -> None:
@@ -96,22 +97,22 @@
 
     def apply(self, cell: int, order: Order) -> Iterable[int]:
         """Applies an order in the governor's indices and returns the proxies that it concerns."""
-        self.change_count += 1
+        self.version += 1
         self.cells[cell].record(order)
         match order:
             case BindProxy():
                 return self._bind(cell, order)
             case WithdrawReplica(replica=replica, withdrawn=True):
-                self._withdrawals.record(replica, self.change_count)
+                self._withdrawals.record(replica, self.version)
             case WithdrawReplica(replica=replica, withdrawn=False):
                 self._withdrawals.discard(replica)
         return self.tables.apply(order).proxies
 
     def finish_reply(
-        self, cell: int, request: RequestAcknowledgement | None, concerned: Iterable[int], now_us: int
+        self, cell: int, request: RequestAcknowledgement | None, affected: Iterable[int], now_us: int
     ) -> None:
         """Ends one reply of a cell: the proxies concerned wait for the cell and its acknowledgement."""
-        for proxy in self.backlogs if request and request.to_all else concerned:
+        for proxy in self.backlogs if request and request.to_all else affected:
             backlog = self.backlogs.get(proxy)
             if backlog is None:
                 continue
@@ -122,38 +123,40 @@
 
     def add_migration(self, tenant: str) -> None:
         """Notes that the tenant's route has changed; every bound proxy waits for it."""
-        self.change_count += 1
-        self._migrations.record(tenant, self.change_count)
+        self.version += 1
+        self._migrations.record(tenant, self.version)
 
     def drop_delivered(self) -> None:
         """Forgets the changes of one cell, the next in turn, that no proxy waits for any more.
 
         Without that, each weight that ever changed cost a look at every message of its table.
         """
-        self._last_swept = (self._last_swept + 1) % len(self.cells)
-        cell = self.cells[self._last_swept]
+        self._last_swept_cell = (self._last_swept_cell + 1) % len(self.cells)
+        cell = self.cells[self._last_swept_cell]
         waiting = (
-            backlog.delivered[self._last_swept]
+            backlog.delivered_versions[self._last_swept_cell]
             for backlog in self.backlogs.values()
-            if self._last_swept in backlog.pending_cells
+            if self._last_swept_cell in backlog.pending_cells
         )
-        cell.drop_until(min(waiting, default=cell.count))
+        cell.drop_until(min(waiting, default=cell.version))
 
     def urgent_proxies(self) -> list[int]:
         """Proxies that were not sent the latest withdrawal, the longest waiting first."""
-        last = self._withdrawals.last_count
-        return [proxy for proxy, backlog in self.backlogs.items() if backlog.delivered_withdrawals < last]
+        last = self._withdrawals.last_version
+        return [
+            proxy for proxy, backlog in self.backlogs.items() if backlog.delivered_withdrawals_version < last
+        ]
 
     def pending_proxies(self) -> list[int]:
         """Proxies that wait for anything, the longest waiting first."""
-        last = self._migrations.last_count
+        last = self._migrations.last_version
         return [
             proxy
             for proxy, backlog in self.backlogs.items()
-            if backlog.pending_cells or (backlog.is_bound and backlog.delivered_migrations < last)
+            if backlog.pending_cells or (backlog.is_bound and backlog.delivered_migrations_version < last)
         ]
 
-    def next_delivery(self, proxy: int, *, urgent: bool, available_lines: float) -> Delivery:
+    def next_delivery(self, proxy: int, *, urgent: bool, available_lines: float) -> PendingDelivery:
         """Puts a message for a proxy together; `mark_delivered` follows once it is on its way.
 
         It holds withdrawals and migrations first, and then the cells in the budget's order while
@@ -161,7 +164,7 @@
         """
         backlog = self.backlogs[proxy]
         deltas = self._withdrawal_deltas(backlog) + self._migration_deltas(backlog)
-        delivery = Delivery(deltas=deltas, cost_lines=self.tables.message_overhead_lines + len(deltas))
+        delivery = PendingDelivery(deltas=deltas, cost_lines=self.tables.message_overhead_lines + len(deltas))
         is_bound = backlog.is_bound
         ordinary_lines = min(available_lines, self.budget.max_message_lines)
         for cell in self.budget.serving_order(backlog.pending_cells):
@@ -180,19 +183,19 @@
             is_bound = is_bound or brings_table
         return delivery
 
-    def mark_delivered(self, proxy: int, delivery: Delivery) -> None:
+    def mark_delivered(self, proxy: int, delivery: PendingDelivery) -> None:
         """Notes that a message is on its way; the proxy goes to the end of the queue."""
         backlog = self.backlogs.pop(proxy)
         self.backlogs[proxy] = backlog
-        backlog.delivered_withdrawals = self.change_count
+        backlog.delivered_withdrawals_version = self.version
         if backlog.is_bound:
-            backlog.delivered_migrations = self.change_count
+            backlog.delivered_migrations_version = self.version
         for cell, cost_lines in delivery.cell_costs.items():
             if cell in backlog.pending_binds and not backlog.is_bound:
                 backlog.is_bound = True
-                backlog.delivered_migrations = self.change_count
+                backlog.delivered_migrations_version = self.version
             self.budget.record_usage(cell, cost_lines)
-            backlog.delivered[cell] = self.cells[cell].count
+            backlog.delivered_versions[cell] = self.cells[cell].version
             backlog.pending_cells.pop(cell, None)
             backlog.pending_binds.pop(cell, None)
             backlog.pending_revisions.pop(cell, None)
@@ -201,9 +204,9 @@
         """Notes that the proxy is sent its complete state, and returns the revisions that this confirms."""
         before = self.backlogs[proxy]
         self.backlogs[proxy] = ProxyBacklog(
-            delivered=[cell.count for cell in self.cells],
-            delivered_withdrawals=self.change_count,
-            delivered_migrations=self.change_count,
+            delivered_versions=[cell.version for cell in self.cells],
+            delivered_withdrawals_version=self.version,
+            delivered_migrations_version=self.version,
             is_bound=bool(self.tables.bindings.get(proxy)),
             is_introduced=before.is_introduced,
         )
@@ -221,7 +224,7 @@
         names = self.tables.identifiers.replicas.names
         return [
             WithdrawalDelta(names[replica])
-            for replica in self._withdrawals.since(backlog.delivered_withdrawals)
+            for replica in self._withdrawals.since(backlog.delivered_withdrawals_version)
         ]
 
     def _migration_deltas(self, backlog: ProxyBacklog) -> list[Delta]:
@@ -234,7 +237,7 @@
                 cell=route.cell_by_tenant.get(tenant, ""),
                 generation=route.generations.get(tenant, 1),
             )
-            for tenant in self._migrations.since(backlog.delivered_migrations)
+            for tenant in self._migrations.since(backlog.delivered_migrations_version)
         ]
 
     def _cell_deltas(self, proxy: int, backlog: ProxyBacklog, cell: int, is_bound: bool) -> PricedDeltas:
@@ -261,8 +264,8 @@
             if self.tables.route is not None:
                 cost_lines += len(self.tables.route.cell_by_tenant)
         known_tables = [table for table in classes_by_table if table not in new_tables]
-        changes = self._table_changes(cell, known_tables, backlog.delivered[cell])
-        changes += self._latest_changes(cell, classes_by_table, backlog.delivered[cell])
+        changes = self._table_changes(cell, known_tables, backlog.delivered_versions[cell])
+        changes += self._latest_changes(cell, classes_by_table, backlog.delivered_versions[cell])
         return PricedDeltas(deltas + changes, cost_lines + len(changes))
 
     def _table_changes(self, cell: int, tables: Iterable[int], since: int) -> list[Delta]:
@@ -274,7 +277,7 @@
                 deltas.append(ClearDelta(table))
             weights = self.tables.weights.get(table, {})
             deltas += [
-                self.tables.weight_delta(table, replica, weights.get(replica, 0.0))
+                self.tables.make_weight_delta(table, replica, weights.get(replica, 0.0))
                 for replica, count in changes.weights.get(table, {}).items()
                 if count > since
             ]
--- a/gradehoist/governor/direct_publisher.py
+++ b/gradehoist/governor/direct_publisher.py
@@ -31,13 +31,13 @@
         """Starts without proxies."""
         super().__init__(tables, channel, policies, log)
         self._messages: dict[int, PendingMessage] = {}  # by proxy
-        self._concerned: dict[int, None] = {}  # proxies that the current reply concerns
+        self._affected: dict[int, None] = {}  # proxies that the current reply concerns
 
     def begin_replies(self) -> None:
         """Begins the replies that the policies gave at one time."""
         super().begin_replies()
         self._messages = {}
-        self._concerned = {}
+        self._affected = {}
 
     def apply(self, policy: int, order: Order) -> bool:
         """Applies an order in the governor's indices; False if it binds a proxy that has left."""
@@ -55,10 +55,10 @@
         """Ends the reply of one policy: the proxies concerned, or all, confirm its revision."""
         if request is not None:
             if request.to_all:
-                self._add([proxy for proxy in self.streams if proxy not in self._concerned], [], 0.0)
-            for proxy in self._concerned:
+                self._add([proxy for proxy in self.streams if proxy not in self._affected], [], 0.0)
+            for proxy in self._affected:
                 self._messages[proxy].revisions.append(PolicyRevision(policy, request.revision))
-        self._concerned = {}
+        self._affected = {}
 
     def finish_replies(self, now_us: int) -> None:
         """Sends the messages that the replies have brought."""
@@ -67,7 +67,7 @@
                 self._send(now_us, stream, pending)
         self._messages = {}
 
-    def tend_backlog(self) -> None:
+    def maintain_backlog(self) -> None:
         """Resyncs the proxies whose tables were larger than the channel's queue and fit now."""
         for stream in self.streams.values():
             if not stream.is_oversized:
@@ -81,7 +81,7 @@
             pending = self._messages.setdefault(proxy, PendingMessage())
             pending.deltas.extend(deltas)
             pending.cost_lines += cost_lines
-            self._concerned[proxy] = None
+            self._affected[proxy] = None
 
     def _send(self, now_us: int, stream: ProxyStream, pending: PendingMessage) -> None:
         seq = stream.allocate_seq()
--- a/gradehoist/governor/endpoint_events.py
+++ b/gradehoist/governor/endpoint_events.py
@@ -27,7 +27,9 @@
         self._endpoint_list = state.endpoint_list
         self._policies = state.policies
         self._log = state.log
-        self._unowned: set[str] = set()  # replicas that no policy decides for and that have been logged
+        self._logged_unowned: set[str] = (
+            set()
+        )  # replicas that no policy decides for and that have been logged
 
     def apply(self, now_us: int, update: EndpointListUpdate) -> ListChange:
         """Applies an update.
@@ -64,8 +66,8 @@
                 policy.events.append(EndpointsListed(kind=listed.kind, endpoints=endpoints))
         for endpoint in listed.endpoints:
             name = names[endpoint.replica]
-            if name not in self._unowned and not self._policies.owns_replica(name):
-                self._unowned.add(name)
+            if name not in self._logged_unowned and not self._policies.owns_replica(name):
+                self._logged_unowned.add(name)
                 self._log.warning("replica_ignored", replica=name, reason="the placement does not name it")
 
     def _log_invalid(self, before: Mapping[str, str]) -> None:
--- a/gradehoist/governor/load_reports.py
+++ b/gradehoist/governor/load_reports.py
@@ -143,9 +143,9 @@
 
     def _add_credit(self, now_us: int) -> None:
         # A burst of one period's lines at most: an idle time must not add up to a flood.
-        most = max(1.0, self._lines_per_s * self._period_us / SECOND_US)
-        earned = self._lines_per_s * (now_us - self._credit_at_us) / SECOND_US
-        self._credit_lines = min(most, self._credit_lines + earned)
+        max_credit_lines = max(1.0, self._lines_per_s * self._period_us / SECOND_US)
+        earned_lines = self._lines_per_s * (now_us - self._credit_at_us) / SECOND_US
+        self._credit_lines = min(max_credit_lines, self._credit_lines + earned_lines)
         self._credit_at_us = now_us
 
     def _take_line(self, key: _AttemptsKey | _RequestsKey, now_us: int) -> AttemptsReported | RequestsOffered:
--- a/gradehoist/governor/policy_host.py
+++ b/gradehoist/governor/policy_host.py
@@ -73,13 +73,13 @@
         policy = self.policies[number]
         orders = policy.handle(at_us, events)
         if self._runs_timers:
-            orders = self._keep_timers(at_us, number, orders)
+            orders = self._extract_timers(at_us, number, orders)
         if not orders:
             return []
         reasons = explain_orders(policy, orders) if isinstance(policy, Planner) else {}
         return [PolicyReply(policy=number, orders=orders, reasons=reasons)]
 
-    def _keep_timers(self, at_us: int, number: int, orders: list[Order]) -> list[Order]:
+    def _extract_timers(self, at_us: int, number: int, orders: list[Order]) -> list[Order]:
         """Sets the timers among the orders and returns the other orders."""
         others: list[Order] = []
         for order in orders:
--- a/gradehoist/governor/policy_process.py
+++ b/gradehoist/governor/policy_process.py
@@ -29,9 +29,9 @@
 
 FIRST_REPLY_TIMEOUT_S = 20.0  # Python's start on a loaded machine
 REPLY_TIMEOUT_S = 10.0  # ten times the work that a hundred cells have needed for one answer
-MAX_IDLE_LOOKS = 2  # looks at a child without progress after which it counts as stuck
-MIN_LOOK_INTERVAL_S = 0.05
-LOOKS_PER_GRACE_PERIOD = 4  # a stuck child is given up within three quarters of the grace period
+MAX_IDLE_CHECKS = 2  # looks at a child without progress after which it counts as stuck
+MIN_CHECK_INTERVAL_S = 0.05
+CHECKS_PER_GRACE_PERIOD = 4  # a stuck child is given up within three quarters of the grace period
 MAX_FRAME_BYTES = 1 << 30
 EXIT_POLLS = 100  # looks at a child that should end by itself,
 EXIT_POLL_INTERVAL_S = 0.01  # and the time between them
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Progress:
+class _ChildProgress:
     """What a look at the child has seen: the request that it works on, and its state."""
 
     request: int
@@ -72,12 +72,12 @@
         theirs.close()
         self.cpu_s = 0.0
         self._stream = IOStream(ours, max_buffer_size=MAX_FRAME_BYTES)
-        self._first: StartPolicies | None = StartPolicies(configs, now_us, runs_timers)
-        self._look_interval_s = max(MIN_LOOK_INTERVAL_S, drain_grace_us / (LOOKS_PER_GRACE_PERIOD * 1e6))
+        self._start_message: StartPolicies | None = StartPolicies(configs, now_us, runs_timers)
+        self._check_interval_s = max(MIN_CHECK_INTERVAL_S, drain_grace_us / (CHECKS_PER_GRACE_PERIOD * 1e6))
         self._request_count = 0
-        self._asked_at_s: float | None = None  # when the answer that is due was requested
+        self._requested_at_s: float | None = None  # when the answer that is due was requested
         self._failure = ""
-        self._watching: asyncio.Task[None] | None = None
+        self._watchdog: asyncio.Task[None] | None = None
 
     @property
     def pid(self) -> int:
@@ -92,15 +92,15 @@
         Raises:
             PolicyProcessError: there is no answer that may be used.
         """
-        self._watching = self._watching or asyncio.ensure_future(self._watch())
+        self._watchdog = self._watchdog or asyncio.ensure_future(self._run_watchdog())
         self._request_count += 1
-        self._asked_at_s = time.monotonic()
+        self._requested_at_s = time.monotonic()
         try:
             answer = await self._request(HandleBatches(now_us, batches, fires_timers))
         except StreamClosedError:
             raise PolicyProcessError(self._failure or "the policy process ended") from None
         finally:
-            self._asked_at_s = None
+            self._requested_at_s = None
         if answer.failure:
             raise PolicyProcessError(answer.failure)
         self.cpu_s += answer.cpu_s
@@ -108,8 +108,8 @@
 
     async def close(self) -> None:
         """Ends the child; it is killed if it does not end by itself."""
-        if self._watching:
-            self._watching.cancel()
+        if self._watchdog:
+            self._watchdog.cancel()
         self._stream.close()
         for _ in range(EXIT_POLLS):
             if self._child.poll() is not None:
@@ -119,32 +119,32 @@
         self._child.wait()
 
     async def _request(self, message: HandleBatches) -> BatchesHandled:
-        if self._first is not None:
-            self._stream.write(encode_frame(self._first))
+        if self._start_message is not None:
+            self._stream.write(encode_frame(self._start_message))
         self._stream.write(encode_frame(message))
-        self._first = None
+        self._start_message = None
         (size,) = FRAME_LENGTH.unpack(await self._stream.read_bytes(FRAME_LENGTH.size))
         answer: BatchesHandled = pickle.loads(await self._stream.read_bytes(size))
         return answer
 
-    async def _watch(self) -> None:
+    async def _run_watchdog(self) -> None:
         """Closes the socket of a child that owes an answer and is stuck, or takes too long.
 
         Withdrawals waited for a stopped child for ever, and nothing reported it.
         """
-        idle_looks = 0
-        before: _Progress | None = None
+        idle_checks = 0
+        before: _ChildProgress | None = None
         while True:
-            await asyncio.sleep(self._look_interval_s)
-            if self._asked_at_s is None:
+            await asyncio.sleep(self._check_interval_s)
+            if self._requested_at_s is None:
                 continue
-            progress = _Progress(self._request_count, self._child_state())
-            idle_looks = idle_looks + 1 if progress == before else 0
+            progress = _ChildProgress(self._request_count, self._child_state())
+            idle_checks = idle_checks + 1 if progress == before else 0
             before = progress
-            waited_s = time.monotonic() - self._asked_at_s
+            waited_s = time.monotonic() - self._requested_at_s
             # Not before the first answer: a start may wait for the disk, and it delays no withdrawal.
             is_first = self._request_count == 1
-            is_stuck = idle_looks >= MAX_IDLE_LOOKS and not is_first
+            is_stuck = idle_checks >= MAX_IDLE_CHECKS and not is_first
             if is_stuck or waited_s > (FIRST_REPLY_TIMEOUT_S if is_first else REPLY_TIMEOUT_S):
                 state = "makes no progress" if is_stuck else "is still at work"
                 self._failure = f"the policy process owes an answer for {waited_s:.1f} s and {state}"
--- a/gradehoist/governor/publisher.py
+++ b/gradehoist/governor/publisher.py
@@ -70,7 +70,7 @@
         """Ends the replies of one time and sends what goes at once."""
 
     @abstractmethod
-    def tend_backlog(self) -> None:
+    def maintain_backlog(self) -> None:
         """Does what is due about once a second."""
 
     def publish_slot(self, now_us: int, *, replica_count: int, is_continuation: bool) -> bool:
--- a/gradehoist/governor/replica_leases.py
+++ b/gradehoist/governor/replica_leases.py
@@ -27,7 +27,7 @@
         self._clients = shell.clients
         self._tasks = shell.tasks
         self._assignments = assignments
-        self._unanswered = set[str]()  # addresses
+        self._in_flight = set[str]()  # addresses
 
     async def run(self, lease_us: int) -> None:
         """Sends heartbeats until it is cancelled."""
@@ -36,17 +36,17 @@
             body = _ENCODER.encode((lease_us, directory.heartbeat_assignments()))
             addresses = {replica_address(e) for e in self._core.endpoint_list.endpoints.values()}
             # One at a time: to a replica that hangs they were made faster than they ended.
-            for address in addresses - self._unanswered:
+            for address in addresses - self._in_flight:
                 self._tasks.start(self.renew(address, body))
             await asyncio.sleep(lease_us / (HEARTBEATS_PER_LEASE * 1e6))
 
     async def renew(self, address: str, body: bytes) -> None:
         """Sends one heartbeat; that it fails is that replica's loss alone."""
-        self._unanswered.add(address)
+        self._in_flight.add(address)
         try:
             # A ValueError is for an address that is none.
             with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError, ValueError):
                 client = self._clients.get(address)
                 await client.request("POST", HEARTBEAT_PATH, body, timeout_s=HEARTBEAT_TIMEOUT_S)
         finally:
-            self._unanswered.discard(address)
+            self._in_flight.discard(address)
--- a/gradehoist/governor/service.py
+++ b/gradehoist/governor/service.py
@@ -42,7 +42,7 @@
 MIN_CONNECTIONS = 16
 LISTEN_BACKLOG = 4096
 MAX_CLOCK_WAIT_S = 0.5  # between two looks at what is due
-LAST_RESPONSES_S = 0.05  # in which the last responses leave at the end
+FINAL_RESPONSES_S = 0.05  # in which the last responses leave at the end
 GC_THRESHOLDS = (50_000, 20, 1_000)
 
 
@@ -91,7 +91,7 @@
         self._process: PolicyProcess | None = None
         self._stopping = asyncio.Event()
         self._has_failed = False
-        self._max_lag_s = 0.0  # of the clock task since the last status request
+        self._max_clock_lag_s = 0.0  # of the clock task since the last status request
 
     async def run(self) -> int:
         """Serves until `stop` is called or something fails; returns the exit code.
@@ -116,8 +116,8 @@
 
     def status(self) -> dict[str, Any]:
         """The answer to `GET /v1/status`; `lag_ms` is the worst since the last call."""
-        max_lag_s = self._max_lag_s
-        self._max_lag_s = 0.0
+        max_lag_s = self._max_clock_lag_s
+        self._max_clock_lag_s = 0.0
         process = self._process
         return {
             "governor": self.settings.name,
@@ -208,7 +208,7 @@
     async def _shut_down(self, process: PolicyProcess) -> None:
         self._server.stop()
         self._polls.stop()
-        await asyncio.sleep(LAST_RESPONSES_S)
+        await asyncio.sleep(FINAL_RESPONSES_S)
         if self._membership is not None:
             await self._membership.leave()
         await self._tasks.cancel()
@@ -223,7 +223,7 @@
             await self._wait_until(due_us)
             self._signals.core_changed.clear()
             now_us = monotonic_us()
-            self._max_lag_s = max(self._max_lag_s, (now_us - due_us) / 1e6)
+            self._max_clock_lag_s = max(self._max_clock_lag_s, (now_us - due_us) / 1e6)
             self._polls.wake(self.core.advance(now_us))
             if self.core.has_pending_events:
                 self._signals.events_pending.set()
--- a/gradehoist/governor/stream_monitor.py
+++ b/gradehoist/governor/stream_monitor.py
@@ -28,7 +28,7 @@
             return
         self._checked_us = now_us
         self._remove_silent(now_us)
-        self._publisher.tend_backlog()
+        self._publisher.maintain_backlog()
         self._log_channel_rate()
         self._log_slow_proxies(now_us)
 
--- a/gradehoist/governor/tables.py
+++ b/gradehoist/governor/tables.py
@@ -118,7 +118,7 @@
         bindings = self.bindings[proxy]
         is_first = not bindings
         before = set(bindings.values())
-        bindings |= dict.fromkeys(self._chosen_classes(classes), table)
+        bindings |= dict.fromkeys(self._expand_classes(classes), table)
         for unbound in before - set(bindings.values()):
             self.bound_proxies[unbound].pop(proxy, None)
         self.bound_proxies.setdefault(table, {})[proxy] = None
@@ -129,7 +129,7 @@
         if proxy not in self.bindings:
             return PricedDeltas([], 0.0)
         is_first = self.bind_proxy(proxy, table, classes)
-        snapshot = self.table_snapshot(table, self._chosen_classes(classes))
+        snapshot = self.table_snapshot(table, self._expand_classes(classes))
         deltas = snapshot.deltas
         if is_first:  # the first binding of a stream ends withdrawals and admission of earlier streams
             deltas = deltas + self.initial_deltas()
@@ -163,7 +163,7 @@
             lines += len(self.route.cell_by_tenant)
         return PricedDeltas(deltas, self.message_overhead_lines + len(deltas) + lines)
 
-    def weight_delta(self, table: int, replica: int, weight: float) -> WeightDelta:
+    def make_weight_delta(self, table: int, replica: int, weight: float) -> WeightDelta:
         """One weight as proxies get it; 0 removes the replica from the table."""
         return WeightDelta(
             table=table,
@@ -177,7 +177,7 @@
             weights[order.replica] = order.weight
         else:
             weights.pop(order.replica, None)
-        delta = self.weight_delta(order.table, order.replica, order.weight)
+        delta = self.make_weight_delta(order.table, order.replica, order.weight)
         return TableUpdate(self.bound_proxies.get(order.table, {}), delta, 1)
 
     def _clear_table(self, order: ClearTable) -> TableUpdate:
@@ -200,7 +200,7 @@
 
     def _set_admission(self, order: SetAdmission) -> TableUpdate:
         names = self.identifiers.classes.names
-        classes = self._chosen_classes(order.classes)
+        classes = self._expand_classes(order.classes)
         admission = Admission(order.admitted_share, order.retry_policy)
         for request_class in classes:
             self.admission[order.table, request_class] = admission
@@ -213,7 +213,7 @@
         )
         return TableUpdate(list(concerned), delta, 1)
 
-    def _chosen_classes(self, classes: tuple[int, ...]) -> tuple[int, ...]:
+    def _expand_classes(self, classes: tuple[int, ...]) -> tuple[int, ...]:
         """No classes at all stand for every class."""
         return classes or tuple(range(len(self.identifiers.classes)))
 
--- a/tests/test_delivery_queue.py
+++ b/tests/test_delivery_queue.py
@@ -9,7 +9,7 @@
 from gradehoist import interface as i
 from gradehoist.cells.channel_shares import ChannelShares
 from gradehoist.governor.cell_publisher import CellPublisher
-from gradehoist.governor.delivery_queue import Delivery, DeliveryQueue
+from gradehoist.governor.delivery_queue import DeliveryQueue, PendingDelivery
 from gradehoist.governor.policy_instances import PolicyInstance, PolicySet
 from gradehoist.governor.tables import PublishedTables
 from gradehoist.identifiers import Identifiers
@@ -68,7 +68,7 @@
         concerned = self.ledger.apply(n, order)
         self.ledger.finish_reply(n, i.RequestAcknowledgement(dice.randrange(9), False), concerned, 0)
 
-    def serve(self, proxy: int, urgent: bool, room: float) -> Delivery:
+    def serve(self, proxy: int, urgent: bool, room: float) -> PendingDelivery:
         piece = self.ledger.next_delivery(proxy, urgent=urgent, available_lines=room)
         self.seq += 1
         self.held[proxy].apply(feed.Message(self.seq, 1, 1, piece.cost_lines, tuple(piece.deltas)))
