--- a/gradehoist/governor/delivery_queue.py
+++ b/gradehoist/governor/delivery_queue.py
@@ -1,10 +1,10 @@
-"""What each proxy of a governor with cells has yet to be sent. No I/O.
+"""The changes that each proxy of a governor with cells has not been sent yet. This module does no I/O.
 
-It is kept as states and not as a history: each cell counts its changes and remembers at which count each
-weight, restoration and admission last changed, and each proxy remembers the count that it was sent.
-However long a proxy waits, it is sent each weight once, as it is then, and a backlog needs no more memory
-than the tables. A cell is sent to a proxy completely or not at all, so a restoration never leaves before the
-low weight that belongs to it.
+The queue keeps versions, not a history: each cell records the version at which each weight, restoration and
+admission last changed, and each proxy records the version that it was sent. However long a proxy waits, it is
+sent only the latest value of each weight, and its backlog needs no more memory than the tables. All changes
+of a cell go to a proxy in one message, so a restoration is never sent before the low weight that belongs to
+it.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 
 @dataclass
 class ProxyBacklog:
-    """What one proxy was sent and what it waits for.
+    """What one proxy has been sent, and what is queued for it.
 
     Attributes:
-        delivered: by cell: the count of the cell's changes that the proxy was sent.
-        delivered_withdrawals: the queue's count up to which it was sent withdrawals.
-        delivered_migrations: the queue's count up to which it was sent migrations.
-        pending_cells: cells that concern it and have changed.
-        is_bound: whether it was sent a table on this stream.
+        delivered_versions: the version of each cell that the proxy was sent.
+        delivered_withdrawals_version: the queue's version up to which the proxy was sent withdrawals.
+        delivered_migrations_version: the queue's version up to which the proxy was sent migrations.
+        pending_cells: cells with changes that affect the proxy.
+        is_bound: whether the proxy was sent a table on this stream.
         is_introduced: whether the policies know the proxy.
-        pending_binds: by cell: the tables that it has to be sent completely.
-        pending_revisions: by cell: the newest one, which confirms all before.
+        pending_binds: the tables that have to be sent completely, by cell.
+        pending_revisions: the newest revision of each cell; its acknowledgement covers all earlier ones.
     """
 
     delivered_versions: list[int]
@@ -55,7 +55,7 @@
 
 @dataclass
 class PendingDelivery:
-    """One message that is being put together; `cell_costs`: what each cell in it costs, in lines."""
+    """A message under construction; `cell_costs` holds the cost of each cell in it, in lines."""
 
     deltas: list[Delta] = field(default_factory=list)
     cost_lines: float = 0.0
@@ -63,7 +63,7 @@
     revisions: list[OrderedRevision] = field(default_factory=list)
 
     def add_cell(self, cell: int, deltas: list[Delta], cost_lines: float) -> None:
-        """Adds all that the proxy waits for of one cell."""
+        """Adds all pending changes of one cell."""
         self.deltas += deltas
         self.cost_lines += cost_lines
         self.cell_costs[cell] = cost_lines
@@ -73,19 +73,19 @@
     """The backlogs of all proxies. The cell publisher owns it."""
 
     def __init__(self, tables: PublishedTables, policies: PolicySet, budget: ChannelShares) -> None:
-        """Starts without proxies; `budget` decides which cells go first."""
+        """Creates an empty queue; `budget` decides which cells are sent first."""
         self.tables = tables
         self.budget = budget
         self.cells = [CellChanges() for _ in policies]
-        self.backlogs: dict[int, ProxyBacklog] = {}  # by proxy, those first that have waited longest
+        self.backlogs: dict[int, ProxyBacklog] = {}  # by proxy, the longest waiting first
         self.version = 0
         self._class_count = policies.class_count
-        self._withdrawals = ChangeLog[int]()  # replicas
-        self._migrations = ChangeLog[str]()  # tenants
-        self._last_swept_cell = 0  # cell
+        self._withdrawals = ChangeLog[int]()  # keys are replicas
+        self._migrations = ChangeLog[str]()  # keys are tenants
+        self._last_swept_cell = 0
 
     def add_proxy(self, proxy: int) -> None:
-        """Adds a proxy on a new stream; before it is bound it is sent withdrawals alone."""
+        """Adds a proxy on a new stream; until it is bound it is sent only withdrawals."""
         self.backlogs[proxy] = ProxyBacklog(
             delivered_versions=[cell.version for cell in self.cells],
             delivered_migrations_version=self.version,
@@ -96,7 +96,7 @@
         self.backlogs.pop(proxy, None)
 
     def apply(self, cell: int, order: Order) -> Iterable[int]:
-        """Applies an order in the governor's indices and returns the proxies that it concerns."""
+        """Applies an order that uses the governor's indices; returns the proxies that it affects."""
         self.version += 1
         self.cells[cell].record(order)
         match order:
@@ -111,7 +111,7 @@
     def finish_reply(
         self, cell: int, request: RequestAcknowledgement | None, affected: Iterable[int], now_us: int
     ) -> None:
-        """Ends one reply of a cell: the proxies concerned wait for the cell and its acknowledgement."""
+        """Ends one reply of a cell: queues the cell, and any requested revision, for the affected proxies."""
         for proxy in self.backlogs if request and request.to_all else affected:
             backlog = self.backlogs.get(proxy)
             if backlog is None:
@@ -122,14 +122,14 @@
                 backlog.pending_revisions[cell] = OrderedRevision(revision, now_us)
 
     def add_migration(self, tenant: str) -> None:
-        """Notes that the tenant's route has changed; every bound proxy waits for it."""
+        """Queues the changed route of a tenant for every bound proxy."""
         self.version += 1
         self._migrations.record(tenant, self.version)
 
     def drop_delivered(self) -> None:
-        """Forgets the changes of one cell, the next in turn, that no proxy waits for any more.
+        """Drops the changes of one cell that have been sent to every proxy; each call takes the next cell.
 
-        Without that, each weight that ever changed cost a look at every message of its table.
+        Without this, every weight that ever changed was checked again for each message with its table.
         """
         self._last_swept_cell = (self._last_swept_cell + 1) % len(self.cells)
         cell = self.cells[self._last_swept_cell]
@@ -141,14 +141,14 @@
         cell.drop_until(min(waiting, default=cell.version))
 
     def urgent_proxies(self) -> list[int]:
-        """Proxies that were not sent the latest withdrawal, the longest waiting first."""
+        """Returns the proxies that were not sent the latest withdrawal, the longest waiting first."""
         last = self._withdrawals.last_version
         return [
             proxy for proxy, backlog in self.backlogs.items() if backlog.delivered_withdrawals_version < last
         ]
 
     def pending_proxies(self) -> list[int]:
-        """Proxies that wait for anything, the longest waiting first."""
+        """Returns the proxies with any pending change, the longest waiting first."""
         last = self._migrations.last_version
         return [
             proxy
@@ -157,10 +157,10 @@
         ]
 
     def next_delivery(self, proxy: int, *, urgent: bool, available_lines: float) -> PendingDelivery:
-        """Puts a message for a proxy together; `mark_delivered` follows once it is on its way.
+        """Builds the next message for a proxy; the caller calls `mark_delivered` once it has been queued.
 
-        It holds withdrawals and migrations first, and then the cells in the budget's order while
-        `available_lines` last. An urgent message takes no cell beyond that.
+        The message holds withdrawals and migrations first, then the cells in the budget's order, as long as
+        they fit into `available_lines`. An ordinary message includes its first cell even if it does not fit.
         """
         backlog = self.backlogs[proxy]
         deltas = self._withdrawal_deltas(backlog) + self._migration_deltas(backlog)
@@ -173,7 +173,8 @@
             cost_lines = part.cost_lines + (revision is not None)
             brings_table = cell in backlog.pending_binds
             max_lines = available_lines if brings_table else ordinary_lines
-            # The first cell of an ordinary message goes even if it is large, or it would never go.
+            # An ordinary message includes its first cell even if it is too large; it would never be sent
+            # otherwise.
             may_wait = urgent or bool(delivery.cell_costs)
             if part.deltas and may_wait and delivery.cost_lines + cost_lines > max_lines:
                 continue
@@ -184,7 +185,7 @@
         return delivery
 
     def mark_delivered(self, proxy: int, delivery: PendingDelivery) -> None:
-        """Notes that a message is on its way; the proxy goes to the end of the queue."""
+        """Records that a message has been queued, and moves the proxy to the end of the order."""
         backlog = self.backlogs.pop(proxy)
         self.backlogs[proxy] = backlog
         backlog.delivered_withdrawals_version = self.version
@@ -201,7 +202,7 @@
             backlog.pending_revisions.pop(cell, None)
 
     def mark_resynced(self, proxy: int) -> tuple[PolicyRevision, ...]:
-        """Notes that the proxy is sent its complete state, and returns the revisions that this confirms."""
+        """Records a full resync of the proxy; returns the revisions that its acknowledgement covers."""
         before = self.backlogs[proxy]
         self.backlogs[proxy] = ProxyBacklog(
             delivered_versions=[cell.version for cell in self.cells],
@@ -241,7 +242,7 @@
         ]
 
     def _cell_deltas(self, proxy: int, backlog: ProxyBacklog, cell: int, is_bound: bool) -> PricedDeltas:
-        """All that a proxy waits for of one cell."""
+        """Returns all pending changes of one cell for a proxy."""
         bindings = self.tables.bindings.get(proxy, {})
         first_class = cell * self._class_count
         classes_by_table: dict[int, list[int]] = {}
@@ -257,7 +258,7 @@
             deltas += snapshot.deltas
             cost_lines += snapshot.cost_lines
         if new_tables and not is_bound:
-            # The first binding of a stream ends withdrawals and admission of earlier streams.
+            # The first binding of a stream clears the withdrawals and admissions of earlier streams.
             initial = self.tables.initial_deltas()
             deltas += initial
             cost_lines += len(initial)
@@ -269,7 +270,7 @@
         return PricedDeltas(deltas + changes, cost_lines + len(changes))
 
     def _table_changes(self, cell: int, tables: Iterable[int], since: int) -> list[Delta]:
-        """Clearings and weights of the tables that changed after `since`."""
+        """Returns the clearings and weights of these tables that changed after version `since`."""
         changes = self.cells[cell]
         deltas: list[Delta] = []
         for table in tables:
@@ -284,7 +285,7 @@
         return deltas
 
     def _latest_changes(self, cell: int, tables: Collection[int], since: int) -> list[Delta]:
-        """Restorations, and the admission of the tables or of all, that changed after `since`."""
+        """Returns the restorations and admissions of these tables that changed after version `since`."""
         identifiers = self.tables.identifiers
         deltas: list[Delta] = []
         for change in self.cells[cell].latest.since(since):
