--- a/gradehoist/governor/direct_publisher.py
+++ b/gradehoist/governor/direct_publisher.py
@@ -1,4 +1,4 @@
-"""The publisher of a governor with one policy: each of its replies is sent at once. No I/O."""
+"""The publisher of a governor with one policy, which sends each reply at once. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass
 class PendingMessage:
-    """What one proxy is sent for the replies of one time, and the revisions that it confirms with it."""
+    """The deltas that one proxy is sent for the current replies, and the revisions that it acknowledges."""
 
     deltas: list[Delta] = field(default_factory=list)
     cost_lines: float = 0.0
@@ -25,13 +25,13 @@
 
 
 class DirectPublisher(Publisher):
-    """Sends each proxy one message for the replies of one time, in the order in which they concern it."""
+    """Sends each affected proxy one message for all replies that the policies gave at one time."""
 
     def __init__(self, tables: PublishedTables, channel: Channel, policies: PolicySet, log: EventLog) -> None:
-        """Starts without proxies."""
+        """Creates a publisher without proxies."""
         super().__init__(tables, channel, policies, log)
         self._messages: dict[int, PendingMessage] = {}  # by proxy
-        self._affected: dict[int, None] = {}  # proxies that the current reply concerns
+        self._affected: dict[int, None] = {}  # proxies that the current reply affects
 
     def begin_replies(self) -> None:
         """Begins the replies that the policies gave at one time."""
@@ -40,7 +40,7 @@
         self._affected = {}
 
     def apply(self, policy: int, order: Order) -> bool:
-        """Applies an order in the governor's indices; False if it binds a proxy that has left."""
+        """Applies an order that uses the governor's indices; returns False if its proxy has left."""
         if isinstance(order, BindProxy):
             table = self.tables.bind(order.proxy, order.table, order.classes)
             if not table.deltas:
@@ -52,7 +52,7 @@
         return True
 
     def finish_reply(self, policy: int, request: RequestAcknowledgement | None, now_us: int) -> None:
-        """Ends the reply of one policy: the proxies concerned, or all, confirm its revision."""
+        """Ends the reply of one policy, whose revision the affected proxies, or all, have to acknowledge."""
         if request is not None:
             if request.to_all:
                 self._add([proxy for proxy in self.streams if proxy not in self._affected], [], 0.0)
@@ -61,19 +61,22 @@
         self._affected = {}
 
     def finish_replies(self, now_us: int) -> None:
-        """Sends the messages that the replies have brought."""
+        """Ends the replies of one time and sends their messages."""
         for proxy, pending in self._messages.items():
             if stream := self.streams.get(proxy):
                 self._send(now_us, stream, pending)
         self._messages = {}
 
     def maintain_backlog(self) -> None:
-        """Resyncs the proxies whose tables were larger than the channel's queue and fit now."""
+        """Resyncs proxies whose tables were larger than the channel's queue limit and now fit.
+
+        Called about once a second.
+        """
         for stream in self.streams.values():
             if not stream.is_oversized:
                 continue
             if self.tables.proxy_snapshot(stream.proxy).cost_lines <= self.channel.queue_limit_lines:
-                stream.require_resync("its table fits now")
+                stream.require_resync("its tables fit into the queue limit now")
                 self.request_resync(stream.proxy)
 
     def _add(self, proxies: Iterable[int], deltas: list[Delta], cost_lines: float) -> None:
@@ -87,7 +90,7 @@
         seq = stream.allocate_seq()
         stream.expect_acknowledgement(seq, tuple(pending.revisions), now_us)
         if stream.resync_reason:
-            return  # the resync that is due will hold this as well
+            return  # the pending resync will include these changes
         cost_lines = self._cost_lines(pending)
         deltas = pending.deltas
         if cost_lines > self.channel.queue_limit_lines:
