--- a/gradehoist/governor/endpoint_cache.py
+++ b/gradehoist/governor/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The endpoint list on disk, for a start while the list service is away."""
+"""A copy of the endpoint list on disk, used at a start while the list service is unavailable."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class EndpointCache:
-    """Writes the list that is in force after each change, and reads it at the start.
+    """Writes the current list after each change, and reads it at the start.
 
-    The service owns it. The file holds the old list or the new one, never a part.
+    The service owns it. The file is replaced atomically: it holds the old list or the new one.
     """
 
     def __init__(self, shell: ShellState) -> None:
-        """Works on the core's endpoint list."""
+        """Creates a cache of the core's endpoint list; `load` and `run` access the file."""
         self._core = shell.core
         self._log = shell.log
         self._path = shell.settings.state_folder / FILE_NAME
         self._changed = asyncio.Event()
 
     def load(self) -> None:
-        """Puts the persisted list in force; a missing or damaged file is an empty list."""
+        """Loads the persisted list into the core; a missing or damaged file counts as an empty list."""
         records: tuple[EndpointRecord, ...] = ()
         try:
             records = _DECODER.decode(self._path.read_bytes())
@@ -43,11 +43,11 @@
         self._core.load_cached_endpoints(monotonic_us(), records)
 
     def mark_changed(self) -> None:
-        """Has the list written."""
+        """Requests that the list is written."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Writes the list after each change until it is cancelled."""
+        """Writes the list after each change until the task is cancelled."""
         while True:
             await self._changed.wait()
             self._changed.clear()
