--- a/gradehoist/governor/endpoint_events.py
+++ b/gradehoist/governor/endpoint_events.py
@@ -1,4 +1,7 @@
-"""Takes updates of the endpoint list: events for the policies, and the log of what changed. No I/O."""
+"""Converts updates of the endpoint list to events for the policies, and logs what changed.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,32 +14,30 @@
 
 
 class ListChange(Enum):
-    """What an update of the endpoint list changed."""
+    """The kind of change that an update of the endpoint list contains."""
 
     NONE = "none"
     ORDINARY = "ordinary"
-    URGENT = "urgent"  # a replica drains or has gone
+    URGENT = "urgent"  # a replica is draining or gone
 
 
 class EndpointEvents:
-    """Routes list updates to the policies that own the replicas. The core owns it."""
+    """Sends list updates to the policies that own the replicas. The core owns it."""
 
     def __init__(self, state: CoreState) -> None:
-        """Works on the core's endpoint list and policies."""
+        """Uses the endpoint list and the policies of the core."""
         self._identifiers = state.identifiers
         self._endpoint_list = state.endpoint_list
         self._policies = state.policies
         self._log = state.log
-        self._logged_unowned: set[str] = (
-            set()
-        )  # replicas that no policy decides for and that have been logged
+        self._logged_unowned: set[str] = set()  # replicas without a policy that have been logged
 
     def apply(self, now_us: int, update: EndpointListUpdate) -> ListChange:
-        """Applies an update.
+        """Applies an update and notifies the policies.
 
         Raises:
-            EndpointListGapError: the complete list has to be requested.
-            InconsistentEndpointListError: the update cannot be true.
+            EndpointListGapError: the update does not follow the known version; request the complete list.
+            InconsistentEndpointListError: the update contradicts the known list.
         """
         before = dict(self._endpoint_list.endpoints)
         invalid_before = dict(self._endpoint_list.invalid)
@@ -48,15 +49,15 @@
         return self._log_changes(before)
 
     def load_cached(self, now_us: int, records: tuple[EndpointRecord, ...]) -> None:
-        """Puts a list in force that was persisted before the start."""
+        """Loads a list that an earlier run persisted."""
         self._send(self._endpoint_list.load_cached(now_us, records))
 
     def report_failure(self) -> None:
-        """Tells the policies that the list which they requested could not be had."""
+        """Notifies the policies that the requested list could not be obtained."""
         self._policies.broadcast(EndpointsListed(kind=EndpointListKind.FAILED, endpoints=()))
 
     def _send(self, listed: EndpointsListed) -> None:
-        """Gives each policy its own replicas; one that no policy owns is logged once and left out."""
+        """Sends each policy its own replicas; a replica without a policy is logged once and skipped."""
         names = self._identifiers.replicas.names
         for policy in self._policies:
             endpoints = tuple(
@@ -68,7 +69,7 @@
             name = names[endpoint.replica]
             if name not in self._logged_unowned and not self._policies.owns_replica(name):
                 self._logged_unowned.add(name)
-                self._log.warning("replica_ignored", replica=name, reason="the placement does not name it")
+                self._log.warning("replica_ignored", replica=name, reason="it is not in the placement")
 
     def _log_invalid(self, before: Mapping[str, str]) -> None:
         for replica, reason in self._endpoint_list.invalid.items():
@@ -86,8 +87,8 @@
             if old_phase != new_phase:
                 if new_phase != "ready":
                     change = ListChange.URGENT
-                reason = f"the endpoint list; was {old_phase}"
+                reason = f"endpoint list update; the phase was {old_phase}"
                 self._log.info("replica_listed", replica=name, phase=new_phase, reason=reason)
             elif old and new and old.incarnation != new.incarnation:
-                self._log.info("replica_restarted", replica=name, reason="its boot name changed")
+                self._log.info("replica_restarted", replica=name, reason="its incarnation changed")
         return change
