--- a/gradehoist/governor/endpoint_list.py
+++ b/gradehoist/governor/endpoint_list.py
@@ -1,7 +1,8 @@
-"""The endpoint list as this governor knows it: updates of the list service in, events for the policies out.
+"""The endpoint list that this governor uses; it converts list updates to events for the policies.
 
-Records carry an age and a boot name instead of a clock time, so neither end's clock can mislead the other. A
-replica's start is fixed on this governor's monotonic clock when its boot name is first seen. No I/O.
+Records carry an age and an incarnation instead of a clock time, so clock differences between the hosts do not
+matter. The start time of a replica is computed on this governor's monotonic clock when its incarnation is
+first seen. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,39 +16,43 @@
 from gradehoist.interface import Endpoint, EndpointListKind, EndpointsListed, Phase
 from gradehoist.protocol.feed import EndpointListUpdate, EndpointRecord
 
-SPARE_STARTS = 1_000  # kept beyond the listed replicas: one that flaps must not appear to have restarted
+# Start times kept for replicas that are not listed: a replica that returns must not appear to have restarted.
+SPARE_STARTS = 1_000
 PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
 
 
 class EndpointListGapError(GovernorError):
-    """A delta does not continue the version that is held; request the complete list."""
+    """A delta does not follow the known version; the complete list has to be requested."""
 
 
 class InconsistentEndpointListError(GovernorError, ValueError):
-    """A snapshot that cannot be true; the list that is held stays in force."""
+    """A snapshot contradicts the known list, which stays in use."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Start:
-    """A start of a replica: its boot name, and when it was (µs; 0 is long past)."""
+    """The incarnation of a replica and its start time; 0 if it started long ago."""
 
     incarnation: str
     started_us: int
 
 
 class EndpointList:
-    """The replicas that this governor may send to. The core owns it.
+    """The replicas that proxies of this governor may send to. The core owns it.
 
     Attributes:
-        incarnation: which series of versions the list service is in.
+        incarnation: incarnation of the list service, within which versions are comparable.
         version: the last version that was applied.
-        endpoints: the records that are in force, by replica.
-        is_stale: whether the list is a cached one that the service has not confirmed yet.
-        invalid: by replica, why its record does not fit the settings.
+        endpoints: the current records, by replica.
+        is_stale: whether the list comes from the cache and the list service has not confirmed it yet.
+        invalid: the reason why a replica's record does not match the settings, by replica.
     """
 
     def __init__(self, identifiers: Identifiers, warmup_us: int) -> None:
-        """A start that lies `warmup_us` in the past when it is first seen counts as long past."""
+        """Creates an empty list.
+
+        A replica that is at least `warmup_us` old when it is first seen counts as started long ago.
+        """
         self._identifiers = identifiers
         self._warmup_us = warmup_us
         self._starts: dict[str, _Start] = {}
@@ -58,21 +63,23 @@
         self.invalid: dict[str, str] = {}
 
     def start_times_us(self) -> dict[str, int]:
-        """When each replica started, by name; 0 for long past."""
+        """Returns when each replica started, by name; 0 if it started long ago."""
         return {replica: start.started_us for replica, start in self._starts.items()}
 
     def apply(self, now_us: int, update: EndpointListUpdate) -> EndpointsListed | None:
-        """Applies an update and returns the event for the policies, or None if it holds nothing new.
+        """Applies an update and returns the event for the policies, or None if it contains no change.
 
         Raises:
-            EndpointListGapError: the update is a delta on another version.
-            InconsistentEndpointListError: the update is a snapshot that cannot be true.
+            EndpointListGapError: the update is a delta to another version.
+            InconsistentEndpointListError: the update is a snapshot that contradicts the known list.
         """
         if update.is_snapshot:
             self._check_snapshot(update)
         else:
             if update.incarnation != self.incarnation or update.since_version != self.version:
-                raise EndpointListGapError(f"changes after {update.since_version}, held is {self.version}")
+                raise EndpointListGapError(
+                    f"delta to version {update.since_version}, known version is {self.version}"
+                )
             if update.version == self.version:
                 return None
         self.incarnation = update.incarnation
@@ -95,10 +102,10 @@
         )
 
     def load_cached(self, now_us: int, records: tuple[EndpointRecord, ...]) -> EndpointsListed:
-        """Puts the list in force that was persisted before this start.
+        """Replaces the list by one that an earlier run persisted.
 
-        The ages in it are as old as the file, so every start counts as long past until the list service has
-        sent the true ages.
+        Its ages are outdated by the age of the file, so every replica counts as started long ago until the
+        list service has sent current ages.
         """
         self.endpoints = {
             record.replica: record
@@ -112,31 +119,31 @@
         return EndpointsListed(kind=EndpointListKind.CACHED, endpoints=endpoints)
 
     def _check_snapshot(self, update: EndpointListUpdate) -> None:
-        """Rejects what only a faulty list service sends.
+        """Rejects snapshots that only a faulty list service sends.
 
-        One that lost its memory answers with an empty list, which once took every replica from every proxy.
-        A copy that lags answers with an older version, which once restored replicas that were draining.
+        A list service that lost its state answers with an empty list, which once removed every replica from
+        every proxy. A lagging copy answers with an older version, which once restored draining replicas.
         """
         if update.incarnation == self.incarnation and update.version < self.version:
             raise InconsistentEndpointListError(
-                f"version {update.version} after {self.version} of one incarnation; the later stands"
+                f"snapshot version {update.version} is older than {self.version}, which stays in use"
             )
         if not update.endpoints and self.endpoints:
             raise InconsistentEndpointListError(
-                f"an empty list where {len(self.endpoints)} are known; that stands"
+                f"empty snapshot although {len(self.endpoints)} replicas are known; these stay in use"
             )
 
     def _correct(self, record: EndpointRecord) -> EndpointRecord:
-        """The record as far as it fits the settings.
+        """Returns the record with values that the settings allow.
 
-        Rejecting the whole list for one record that does not fit would hide every withdrawal.
+        Rejecting the whole list because of one invalid record would hide every withdrawal in it.
         """
         reason = ""
         if record.phase not in PHASES:
             reason = f"unknown phase {record.phase!r}, taken for draining"
             record = msgspec.structs.replace(record, phase="draining")
         if record.zone not in self._identifiers.zones:
-            reason = f"zone {record.zone!r} is not in the settings, left out"
+            reason = f"zone {record.zone!r} is not in the settings, so the replica is ignored"
             record = msgspec.structs.replace(record, phase="gone")
         if reason:
             self.invalid[record.replica] = reason
@@ -180,5 +187,5 @@
             return 0 if record.age_us >= self._warmup_us else max(1, now_us - record.age_us)
         if known.incarnation == record.incarnation:
             return known.started_us
-        # Later than the last start even where ages were rounded: a restart must show as one.
+        # The new start is later than the last one even if ages were rounded, so that the restart is visible.
         return max(1, now_us - record.age_us, known.started_us + 1)
