--- a/gradehoist/governor/endpoint_watch.py
+++ b/gradehoist/governor/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list at its service by long polls, as far as the policies ask for it."""
+"""Keeps the endpoint list up to date by long polls of the list service, while the policies request it."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from gradehoist.net.client import ConnectError, ConnectionLostError, HttpClient, ResponseTimeoutError
 from gradehoist.protocol.feed import EndpointListUpdate
 
-HOLD_S = 5.0  # that the service holds a request: short enough to notice a dead path
-RESPONSE_MARGIN_S = 2.0  # beyond the hold time
-MIN_INTERVAL_S = 0.05  # from one request to the next: small beside any grace period
-IDLE_INTERVAL_S = 0.05  # between looks at whether the policies want the list
+HOLD_S = 5.0  # how long the service may hold a request; short enough to notice a broken connection
+RESPONSE_MARGIN_S = 2.0  # added to the hold time for the request timeout
+MIN_INTERVAL_S = 0.05  # between requests; small compared to any grace period
+IDLE_INTERVAL_S = 0.05  # between checks whether the policies want the list
 FIRST_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 2.0
-SNAPSHOT_VERSION = -1  # requests the complete list
+SNAPSHOT_VERSION = -1  # the query value that requests the complete list
 _DECODER: msgspec.json.Decoder[EndpointListUpdate] = msgspec.json.Decoder(EndpointListUpdate)
 
 
@@ -28,7 +28,7 @@
     """The task that keeps the core's endpoint list up to date. The service owns it."""
 
     def __init__(self, shell: ShellState, cache: EndpointCache, zones: ZoneCoordination | None) -> None:
-        """Every change is written to `cache`; `zones` learns when the list was last confirmed."""
+        """Creates the task's state; `cache` is told of every change and `zones` of every confirmation."""
         self._core = shell.core
         self._settings = shell.settings
         self._signals = shell.signals
@@ -42,7 +42,7 @@
         self._backoff_s = FIRST_BACKOFF_S
 
     async def run(self) -> None:
-        """Requests the list again and again until it is cancelled."""
+        """Requests the list repeatedly until the task is cancelled."""
         while True:
             if not (self._core.endpoints_subscribed or self._core.endpoints_requested):
                 await asyncio.sleep(IDLE_INTERVAL_S)
@@ -61,7 +61,7 @@
             ) as error:
                 await self._handle_failure(error)
             else:
-                # A service that does not hold requests would be asked a thousand times a second.
+                # Without this pause, a service that does not hold requests would receive a thousand a second.
                 elapsed_s = (monotonic_us() - began_us) / 1e6
                 await asyncio.sleep(max(0.0, MIN_INTERVAL_S - elapsed_s))
 
@@ -100,7 +100,7 @@
         self._cache.mark_changed()
 
     async def _handle_gap(self, error: EndpointListGapError) -> None:
-        """Requests the complete list: at once, or with a backoff where that is what was requested."""
+        """Schedules a request for the complete list, after a backoff if the last request was one already."""
         self._log.info("endpoint_list_gap_detected", reason=str(error))
         await asyncio.sleep(self._backoff_s if self._needs_snapshot else 0.0)
         self._needs_snapshot = True
