--- a/gradehoist/governor/errors.py
+++ b/gradehoist/governor/errors.py
@@ -1,24 +1,24 @@
-"""The errors of this package that are not raised in one module alone."""
+"""Errors that several modules of this package raise."""
 
 
 class GovernorError(Exception):
-    """Base of all errors of a governor; subclasses say what failed and what to do."""
+    """Base class of all errors of a governor."""
 
 
 class RequestRejectedError(GovernorError):
-    """A request that cannot be answered; the text says why.
+    """A request is rejected.
 
     Attributes:
-        status: the status of the HTTP response.
-        reason: its text.
+        status: status code of the HTTP response.
+        reason: text of the HTTP response.
     """
 
     def __init__(self, status: int, reason: str) -> None:
-        """Keeps the status and the text of the response."""
+        """Creates the error from the status code and the text of the response."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
 
 
 class StateError(GovernorError, OSError):
-    """The state folder can't be used; the text says why, and what to do."""
+    """The state folder can't be used; the message says why and what the operator can do."""
