--- a/gradehoist/governor/event_log.py
+++ b/gradehoist/governor/event_log.py
@@ -1,4 +1,4 @@
-"""The log events of the core, collected until the shell writes them. No I/O."""
+"""Collects the log events of the core until the service writes them. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """One event: its name (`noun_verb_past`), what it concerns and why, and whether it is a warning."""
+    """One event: its name (a noun and a past participle), its fields, and whether it is a warning."""
 
     name: str
     fields: dict[str, Any]
@@ -16,18 +16,18 @@
 
 
 class EventLog:
-    """Events in the order in which they happened; `pending` holds those that have not been written."""
+    """Log events in order; `pending` holds the events that have not been written yet."""
 
     def __init__(self) -> None:
-        """Starts empty."""
+        """Creates an empty log."""
         self.pending: list[LogEvent] = []
 
     def info(self, name: str, **fields: Any) -> None:
-        """Notes an event of ordinary operation."""
+        """Adds an event of normal operation."""
         self.pending.append(LogEvent(name=name, fields=fields))
 
     def warning(self, name: str, **fields: Any) -> None:
-        """Notes an event that an operator should look at."""
+        """Adds an event that an operator should check."""
         self.pending.append(LogEvent(name=name, fields=fields, is_warning=True))
 
     def take(self) -> list[LogEvent]:
