--- a/gradehoist/governor/feed_polls.py
+++ b/gradehoist/governor/feed_polls.py
@@ -1,4 +1,4 @@
-"""Held polls: each is answered when its stream has messages, or after the hold time."""
+"""Holds long polls until their stream has messages or the hold time ends."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _Wakeup(Enum):
-    """Why the wait of a held poll ended."""
+    """Why a held poll stopped waiting."""
 
     MESSAGES = "messages"
     SUPERSEDED = "superseded"
@@ -29,19 +29,19 @@
 
 
 class FeedPolls:
-    """The polls that wait for messages, at most one for each proxy. The service owns it."""
+    """The held polls, at most one for each proxy. The service owns it."""
 
     def __init__(self, shell: ShellState) -> None:
-        """Starts without polls."""
+        """Creates the set without polls."""
         self._core = shell.core
         self._signals = shell.signals
         self._waiters: dict[int, asyncio.Future[_Wakeup]] = {}  # by proxy
 
     async def answer(self, poll: FeedPoll, connection: Connection) -> ServerResponse | None:
-        """Holds a poll until there is an answer; None if the connection has closed meanwhile.
+        """Holds a poll and returns its answer; None if the connection has closed in the meantime.
 
         Raises:
-            RequestRejectedError: the proxy can't be served here.
+            RequestRejectedError: this governor can't serve the proxy.
         """
         response = self._core.handle_poll(monotonic_us(), poll)
         proxy = self._core.identifiers.proxies[poll.proxy_name]
@@ -65,14 +65,14 @@
         return ServerResponse(200, _ENCODER.encode(response), _JSON_HEADERS)
 
     def wake(self, proxies: Iterable[int]) -> None:
-        """Has the polls of these proxies evaluated again."""
+        """Evaluates the held polls of these proxies again."""
         for proxy in proxies:
             waiter = self._waiters.get(proxy)
             if waiter is not None and not waiter.done():
                 waiter.set_result(_Wakeup.MESSAGES)
 
     def stop(self) -> None:
-        """Answers all held polls that the governor stops."""
+        """Answers all held polls with the error that the governor stops."""
         for waiter in list(self._waiters.values()):
             if not waiter.done():
                 waiter.set_result(_Wakeup.STOPPING)
@@ -83,7 +83,7 @@
             waiter.set_result(wakeup)
 
     async def _wait(self, proxy: int, connection: Connection, deadline: float) -> _Wakeup:
-        """Waits until the loop's time is `deadline`, the connection closes or the poll is woken."""
+        """Waits until `deadline` on the loop's clock, until the connection closes, or until `wake`."""
         loop = asyncio.get_running_loop()
         waiter: asyncio.Future[_Wakeup] = loop.create_future()
         self._waiters[proxy] = waiter
