--- a/gradehoist/governor/health_checker.py
+++ b/gradehoist/governor/health_checker.py
@@ -1,4 +1,4 @@
-"""Health checks that the policies order, with a limit on how many run at one time."""
+"""Runs the health checks that the policies order, with a limit on concurrent checks."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     """Runs health checks and gives the core their outcomes. The service owns it."""
 
     def __init__(self, shell: ShellState, zones: ZoneCoordination | None) -> None:
-        """`zones` counts the outcomes by zone."""
+        """Creates a checker; `zones`, if given, counts the outcomes by zone."""
         self._core = shell.core
         self._signals = shell.signals
         self._clients = shell.clients
@@ -31,12 +31,12 @@
         self._limit = asyncio.Semaphore(shell.core.fleet.max_health_checks)
 
     def start(self, replicas: Iterable[int]) -> None:
-        """Starts a check of each replica."""
+        """Starts a background check of each replica."""
         for replica in replicas:
             self._tasks.start(self._check(replica))
 
     async def _check(self, replica: int) -> None:
-        """Makes one check within the timeout, which covers the wait for its turn."""
+        """Checks one replica; the timeout includes the wait for a free slot."""
         began_us = monotonic_us()
         name = self._core.identifiers.replicas.names[replica]
         endpoint = self._core.endpoint_list.endpoints.get(name)
@@ -51,14 +51,14 @@
     async def _request(
         self, name: str, endpoint: EndpointRecord | None
     ) -> tuple[HealthCheckOutcome, LoadReport | None]:
-        """The outcome, and the load that the response's ORCA header reports."""
+        """Returns the outcome and the load that the ORCA header of the response reports."""
         address = replica_address(endpoint) if endpoint else name
         timeout_s = self._core.fleet.health_check_timeout_us / 1e6
         try:
             client = self._clients.get(address)
             result = await check_health(client, PATH, timeout_s, self._limit)
             return result.outcome, _read_load(result.response)
-        except ValueError as error:  # no address, or no load report
+        except ValueError as error:  # the address or the load report is malformed
             self._log.warning("health_check_aborted", replica=name, reason=str(error))
             return HealthCheckOutcome.OTHER, None
 
