--- a/gradehoist/governor/health_checks.py
+++ b/gradehoist/governor/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of replicas over HTTP, and what their answers mean."""
+"""One health check of a replica over HTTP, and the outcome for each kind of response."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class HealthCheckResult(NamedTuple):
-    """The outcome of a health check, and the response if there was one."""
+    """The outcome of a health check, and the response if one was received."""
 
     outcome: HealthCheckOutcome
     response: http.Response | None
@@ -22,7 +22,7 @@
 async def check_health(
     client: HttpClient, target: str, timeout_s: float, limit: asyncio.Semaphore
 ) -> HealthCheckResult:
-    """Requests `target` within `timeout_s`; the wait for a place under `limit` counts as well."""
+    """Requests `target` within `timeout_s`, which includes the wait for the semaphore `limit`."""
     try:
         async with asyncio.timeout(timeout_s), limit:
             response = await client.request("GET", target, timeout_s=timeout_s)
