--- a/gradehoist/governor/http_api.py
+++ b/gradehoist/governor/http_api.py
@@ -1,4 +1,4 @@
-"""The governor's HTTP API: requests are parsed here and given to the parts that answer them."""
+"""The governor's HTTP API: parses requests and passes them to the handlers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ApiPath(StrEnum):
-    """The paths of the API."""
+    """The paths of the HTTP API."""
 
     FEED = "/v1/feed"
     LOAD_REPORT = "/v1/sums"
@@ -32,11 +32,11 @@
     ASSIGNMENT = "/v1/cells/word"
 
 
-MEMBER_HEALTH_PATH = "/healthz"  # only with coordination, for the other members of the fleet
+MEMBER_HEALTH_PATH = "/healthz"  # served only with coordination, to the other members of the fleet
 
 
 class PollQuery(msgspec.Struct, frozen=True):
-    """The query of a poll; the encoded names are part of the HTTP API."""
+    """The query parameters of a poll; their encoded names are part of the HTTP API."""
 
     proxy_name: Name = msgspec.field(name="relay")
     zone: Name
@@ -57,7 +57,7 @@
         assignments: TenantAssignments | None,
         membership: Membership | None,
     ) -> None:
-        """Without cells there are no `assignments`, and without coordination there is no `membership`."""
+        """Creates the API; `assignments` is None without cells, `membership` None without coordination."""
         self._polls = polls
         self._take_load_report = take_load_report
         self._status = status
@@ -65,7 +65,7 @@
         self._membership = membership
 
     async def handle(self, request: http.Request, connection: Connection) -> ServerResponse | None:
-        """The response to a request; None if the connection has closed meanwhile."""
+        """Returns the response to a request; None if the connection has closed in the meantime."""
         try:
             return await self._dispatch(request, connection)
         except RequestRejectedError as error:
