--- a/gradehoist/governor/load_reports.py
+++ b/gradehoist/governor/load_reports.py
@@ -1,7 +1,7 @@
-"""Load reports on their way to the policies: merged by zone and replica, passed on at a limited rate.
+"""Merges load reports by zone and replica, and passes them to the policies at a limited rate.
 
-Lines that are not passed on in their period add up and follow later with a longer window, oldest first. No
-I/O; all times are whole microseconds.
+Lines that exceed the rate are accumulated and passed on later with a longer window, oldest first. This module
+does no I/O. All times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from gradehoist.protocol.feed import ProxyLoadReport, ReplicaAttempts
 
 SECOND_US = 1_000_000
-MIN_WAIT_US = 1_000  # between two looks at the queue, however small the missing credit is
+MIN_WAIT_US = 1_000  # between two checks of the queue, however little credit is missing
 
 
 class InvalidLoadReportError(GovernorError):
-    """A load report contradicts itself or names a class that the settings lack; nothing of it is taken."""
+    """A load report is inconsistent or names an unknown class; none of it has been added."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 class _AttemptTotals:
     attempts: int = 0
     failures: int = 0
-    elapsed_us: float = 0.0  # sum over all successful attempts
+    elapsed_us: float = 0.0  # total over all successful attempts
     load: LoadReport | None = None
 
 
@@ -49,29 +49,29 @@
 
 
 class LoadReportQueue:
-    """Totals of the load reports that the policies have not been given yet. The core owns it."""
+    """Totals of the load reports that have not been passed to the policies yet. The core owns it."""
 
     def __init__(self, identifiers: Identifiers, lines_per_s: float, period_us: int, now_us: int) -> None:
-        """Passes on `lines_per_s` lines at most, each line once in `period_us` at most."""
+        """Creates an empty queue that passes on at most `lines_per_s`, and each line once per `period_us`."""
         self._identifiers = identifiers
         self._lines_per_s = lines_per_s
         self._period_us = period_us
         self._attempts: dict[_AttemptsKey, _AttemptTotals] = {}
         self._requests: dict[_RequestsKey, _RequestTotals] = {}
-        # When each line became due, in the order of its first total.
+        # The time since when each line is due, in the order in which the lines became due.
         self._due_since_us: dict[_AttemptsKey | _RequestsKey, int] = {}
         self._next_period_us = now_us + period_us
         self._credit_lines = 0.0
         self._credit_at_us = now_us
 
     def add(self, proxy: int, zone: int, report: ProxyLoadReport) -> list[str]:
-        """Adds a proxy's report and returns the names of replicas that no endpoint list has named.
+        """Adds a proxy's report and returns the names of replicas that were never in an endpoint list.
 
-        Their rows are left out: a proxy's tables may be an earlier governor's, and if the report were
-        rejected as a whole its other figures would be missing.
+        Rows of these replicas are skipped: the proxy may still use the tables of an earlier governor, and
+        rejecting the whole report would lose its other rows.
 
         Raises:
-            InvalidLoadReportError: nothing of the report has been added.
+            InvalidLoadReportError: the report is invalid, and none of it has been added.
         """
         self._validate(report)
         unknown = list[str]()
@@ -89,13 +89,13 @@
         return unknown
 
     def remove_proxy(self, proxy: int) -> None:
-        """Drops the requests that a proxy reported which has left; its attempts at replicas still count."""
+        """Drops the request counts of a proxy that has left; its attempts at replicas still count."""
         for key in [key for key in self._requests if key.proxy == proxy]:
             del self._requests[key]
             self._due_since_us.pop(key, None)
 
     def take_due(self, now_us: int) -> list[AttemptsReported | RequestsOffered]:
-        """The lines that may be passed on now. A line's window covers the period and its wait."""
+        """Removes and returns the lines that may be passed on now; their windows include waiting time."""
         if now_us >= self._next_period_us:
             self._begin_period(now_us)
         self._add_credit(now_us)
@@ -104,7 +104,7 @@
         return [self._take_line(key, now_us) for key in keys]
 
     def next_due_us(self) -> int:
-        """When `take_due` may have something to return."""
+        """Returns the next time at which `take_due` may return lines."""
         if not self._due_since_us:
             return self._next_period_us
         missing_us = round((1 - self._credit_lines) / self._lines_per_s * SECOND_US)
@@ -112,7 +112,7 @@
 
     @property
     def waiting_count(self) -> int:
-        """Lines that are due and have not been passed on."""
+        """The number of lines that are due and have not been passed on."""
         return len(self._due_since_us)
 
     def _validate(self, report: ProxyLoadReport) -> None:
@@ -142,7 +142,8 @@
             self._due_since_us.setdefault(requests_key, now_us)
 
     def _add_credit(self, now_us: int) -> None:
-        # A burst of one period's lines at most: an idle time must not add up to a flood.
+        # The credit is capped at the lines of one period, so that an idle time is not followed by a larger
+        # burst.
         max_credit_lines = max(1.0, self._lines_per_s * self._period_us / SECOND_US)
         earned_lines = self._lines_per_s * (now_us - self._credit_at_us) / SECOND_US
         self._credit_lines = min(max_credit_lines, self._credit_lines + earned_lines)
