--- a/gradehoist/governor/openapi.py
+++ b/gradehoist/governor/openapi.py
@@ -1,7 +1,7 @@
-"""The governor's HTTP API as an OpenAPI 3.1 document, made from the types that parse and write it.
+"""The governor's HTTP API as an OpenAPI 3.1 document, generated from the types that parse and encode it.
 
-The names and descriptions of the schemas are part of the published document. They stand in `SCHEMAS`, so that
-types and their doc comments can change without a change of the document.
+The names and descriptions of the schemas are part of the published document. They are listed in `SCHEMAS`, so
+that renaming a type or changing its docstring does not change the document.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """The body of a response other than 200 and 204."""
+    """The body of a response with a status other than 200 and 204."""
 
     error: str
 
 
 @dataclass(frozen=True, slots=True)
 class PublishedSchema:
-    """The name and the description of a type in the document."""
+    """The name and the description of a type in the published document."""
 
     name: str
     description: str = ""
@@ -113,7 +113,7 @@
 
 
 def document() -> dict[str, Any]:
-    """The document, as `gradehoist openapi` prints it."""
+    """Returns the document that `gradehoist openapi` prints."""
     references, components = msgspec.json.schema_components(
         (PollResponse, ProxyLoadReport, TenantAssignment, AssignmentAck, ErrorBody),
         ref_template=REF_PREFIX + "{name}",
@@ -216,7 +216,7 @@
 
 
 def _publish_schemas(components: dict[str, Any]) -> dict[str, Any]:
-    """The schemas with their published names and descriptions."""
+    """Returns the schemas with their published names and descriptions."""
     published: dict[str, Any] = {}
     for type_name, schema in components.items():
         names = SCHEMAS[type_name]
@@ -229,7 +229,7 @@
 
 
 def _publish_refs(node: Any) -> Any:
-    """A copy of a part of the document with references to the published names."""
+    """Returns a copy of a part of the document in which references use the published names."""
     match node:
         case {"$ref": str() as reference}:
             type_name = reference.removeprefix(REF_PREFIX)
