--- a/gradehoist/governor/order_log.py
+++ b/gradehoist/governor/order_log.py
@@ -1,4 +1,4 @@
-"""The log of the orders that operators follow, with the policy's reason for each. No I/O."""
+"""Logs the orders that are relevant to operators, with the policy's reason. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 from gradehoist.identifiers import Identifiers
 from gradehoist.interface import BindProxy, Order, SetAdmission, WithdrawReplica
 
-SHARE_DIGITS = 4  # decimals of an admitted share in the log
+SHARE_DIGITS = 4  # decimal places of an admitted share in the log
 
 
 def log_order(log: EventLog, identifiers: Identifiers, order: Order, reason: str) -> None:
-    """Logs a binding, withdrawal, restoration or admission in the governor's indices; nothing else."""
+    """Logs a binding, withdrawal, restoration or admission, and ignores every other order.
+
+    The order uses the governor's indices.
+    """
     match order:
         case BindProxy(proxy=proxy, table=table):
             log.info("proxy_bound", proxy=identifiers.proxies.names[proxy], table=table, reason=reason)
