--- a/gradehoist/governor/order_reasons.py
+++ b/gradehoist/governor/order_reasons.py
@@ -1,4 +1,4 @@
-"""Why a policy gave its withdrawals, admission and bindings, read from its own state for the log."""
+"""Explains a policy's withdrawals, admissions and bindings for the log, from the policy's state."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def explain_orders(policy: Planner, orders: list[Order]) -> dict[int, str]:
-    """The reasons for orders that the policy has just given, by their position."""
+    """Returns the reasons for the orders that the policy has just given, by their position."""
     reasons: dict[int, str] = {}
     for position, order in enumerate(orders):
         match order:
@@ -18,7 +18,7 @@
                 reasons[position] = _explain_return(policy, replica)
             case SetAdmission():
                 share = policy.admission.admitted_share
-                reasons[position] = f"admits {share:.3g} of all, by what the pool can answer"
+                reasons[position] = f"admits {share:.3g} of all requests, by the capacity of the pool"
             case BindProxy(proxy=proxy):
                 group = policy.fleet.proxies.group_by_proxy.get(proxy, -1)
                 reasons[position] = f"joined, group {group}"
@@ -31,17 +31,17 @@
     if availability is Availability.GONE:
         return "listed as gone"
     if availability is Availability.EJECTED:
-        return f"ejected: most of its attempts fail, {actor.ejections} times now"
+        return f"ejected: most of its attempts fail (ejection {actor.ejections})"
     if replica in policy.fleet.replicas.waiting:
-        return "warming up, waits while the pool is full or too few are back"
+        return "warming up; waits while the pool is at capacity or too few replicas are back"
     if actor.state.endpoint.phase is Phase.DRAINING:
         return "listed as draining"
-    return "not open"
+    return "not available"
 
 
 def _explain_return(policy: Planner, replica: int) -> str:
     actor = policy.fleet.replicas.actors.get(replica)
     if actor is None:
         return "forgotten: gone for long"
-    state = "ramps up from its low start" if actor.state.slow_start < 1 else "at full ramp"
-    return f"open again: {state}"
+    state = "in slow start" if actor.state.slow_start < 1 else "without slow start"
+    return f"available again, {state}"
