--- a/gradehoist/governor/policy_frames.py
+++ b/gradehoist/governor/policy_frames.py
@@ -1,6 +1,7 @@
 """The messages between a governor and its policy process, and their framing.
 
-A frame is a length of 4 bytes and a pickle. Both ends are this program.
+A frame is a pickled message after its length in 4 bytes. Pickle is safe here because both ends are processes
+of this program, connected by a socket pair.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartPolicies:
-    """The first message to the process, which is not answered.
+    """The first message to the policy process, which sends no answer to it.
 
     Attributes:
-        configs: one for each policy.
-        now_us: the governor's time.
+        configs: the configuration of each policy.
+        now_us: the current time of the governor.
         runs_timers: whether the process fires the policies' timers itself.
     """
 
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandleBatches:
-    """What the policies are due at one time; without `fires_timers` their timers wait."""
+    """A request to handle pending events; timers fire only with `fires_timers`."""
 
     now_us: int
     batches: list[PolicyBatch]
@@ -44,9 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PackedReply:
-    """A `PolicyReply` for the way between the processes.
+    """The form in which a `PolicyReply` is sent between the processes.
 
-    Weights are by far the most orders; as tuples they are read back in half the time.
+    Most orders are weights. They are sent as tuples because unpickling tuples takes half the time.
     """
 
     policy: int
@@ -55,7 +56,7 @@
 
     @classmethod
     def pack(cls, reply: PolicyReply) -> PackedReply:
-        """The packed form of a reply."""
+        """Returns the packed form of a reply."""
         orders: list[Order | PackedWeight] = [
             (order.table, order.replica, order.weight) if type(order) is SetWeight else order
             for order in reply.orders
@@ -63,7 +64,7 @@
         return cls(policy=reply.policy, orders=orders, reasons=reply.reasons)
 
     def unpack(self) -> PolicyReply:
-        """The reply as the policy gave it."""
+        """Returns the reply as the policy gave it."""
         orders = [SetWeight(*order) if isinstance(order, tuple) else order for order in self.orders]
         return PolicyReply(policy=self.policy, orders=orders, reasons=self.reasons)
 
@@ -73,9 +74,9 @@
     """The answer to `HandleBatches`.
 
     Attributes:
-        failure: what a policy raised; empty if none did, and otherwise there are no replies.
-        replies: in the order in which the policies gave them.
-        cpu_s: seconds of CPU that the policies took.
+        failure: the exception that a policy raised, in which case there are no replies; empty otherwise.
+        replies: the replies in the order in which the policies gave them.
+        cpu_s: CPU time of the policies, in seconds.
     """
 
     failure: str
@@ -84,13 +85,13 @@
 
 
 def encode_frame(message: StartPolicies | HandleBatches | BatchesHandled) -> bytes:
-    """The bytes of one message."""
+    """Returns the frame of a message."""
     data = pickle.dumps(message, pickle.HIGHEST_PROTOCOL)
     return FRAME_LENGTH.pack(len(data)) + data
 
 
 def read_frame(pipe: BinaryIO) -> StartPolicies | HandleBatches | None:
-    """Reads one message to the policy process; None if the other end has closed."""
+    """Reads one message that was sent to the policy process; None if the governor closed the socket."""
     try:
         head = pipe.read(FRAME_LENGTH.size)
         if len(head) < FRAME_LENGTH.size:
