--- a/gradehoist/governor/policy_host.py
+++ b/gradehoist/governor/policy_host.py
@@ -1,7 +1,7 @@
-"""The policies in their own process: the child's end of `policy_process`.
+"""Runs the policies in the child process that `policy_process` starts.
 
-With several policies, one for each cell, they are given their events together once a slot. This process then
-fires their timers at the times that they asked for, up to now.
+A fleet with cells has one policy for each cell, and all are given their events together once per time slot.
+This process then also fires the timers that have become due, each with the time for which it was set.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _Timer:
-    """A policy's timer; those of one time fire in the order in which they were set."""
+    """A timer of a policy; timers that are due at the same time fire in the order in which they were set."""
 
     due_us: int
     sequence: int
@@ -43,7 +43,7 @@
 
 
 class PolicyHost:
-    """All policies of one governor."""
+    """Holds the policies of one governor and, if requested, their timers."""
 
     def __init__(
         self,
@@ -52,14 +52,14 @@
         runs_timers: bool,
         make_policy: PolicyFactory = Planner,
     ) -> None:
-        """Makes the policies; with `runs_timers` their timers are fired here, at their own times."""
+        """Creates the policies; with `runs_timers`, this process also fires their timers."""
         self.policies = [make_policy(config, now_us) for config in configs]
         self._runs_timers = runs_timers
         self._timers: list[_Timer] = []
         self._timer_count = 0
 
     def handle(self, now_us: int, batches: list[PolicyBatch], fires_timers: bool = True) -> list[PolicyReply]:
-        """Fires the timers that are due and gives the policies their events; returns what they order."""
+        """Fires due timers, gives the policies their events and returns the policies' replies."""
         replies: list[PolicyReply] = []
         while fires_timers and self._timers and self._timers[0].due_us <= now_us:
             timer = heapq.heappop(self._timers)
@@ -69,7 +69,7 @@
         return replies
 
     def _handle_events(self, at_us: int, number: int, events: list[Event]) -> list[PolicyReply]:
-        """The policy's reply; none if it orders nothing."""
+        """Returns the reply of one policy, or an empty list if it gives no orders."""
         policy = self.policies[number]
         orders = policy.handle(at_us, events)
         if self._runs_timers:
@@ -93,7 +93,7 @@
 
 
 def serve(pipe: BinaryIO, make_policy: PolicyFactory = Planner) -> None:
-    """Runs the policies until the other end of the pipe closes."""
+    """Answers requests until the governor closes its end of the pipe."""
     host: PolicyHost | None = None
     while (message := read_frame(pipe)) is not None:
         answer: BatchesHandled | None = None
@@ -118,8 +118,8 @@
 
 def main() -> None:
     """Serves the socket whose descriptor is the only argument."""
-    # Signals reach the whole process group. The governor ends this process; if it went first, that looked
-    # like a failed policy.
+    # Signals reach the whole process group. Only the governor may end this process: if it ended earlier, the
+    # governor would report a failed policy.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
     with socket.socket(fileno=int(sys.argv[1])) as end, end.makefile("rwb") as pipe:
