--- a/gradehoist/governor/policy_loop.py
+++ b/gradehoist/governor/policy_loop.py
@@ -12,18 +12,18 @@
 from gradehoist.governor.shell_state import ShellState
 from gradehoist.interface import WithdrawReplica
 
-REPLIES_PER_STEP = 8  # policies whose orders are applied before other tasks run
+REPLIES_PER_STEP = 8  # replies that are applied before other tasks may run
 
 
 class PolicyLoop:
-    """Gives the policies their events and applies their orders.
+    """Gives the policies their events and applies their orders. The service owns it.
 
-    Without cells that happens whenever there are events, and with cells once in each time slot, or at once
-    for the cells of a replica that drains. The service owns it.
+    Without cells, this happens whenever events are pending. With cells, it happens once per time slot, and at
+    once for the cells of a replica that is listed as draining or gone.
     """
 
     def __init__(self, shell: ShellState, process: PolicyProcess, on_failure: Callable[[], None]) -> None:
-        """`on_failure` is called when the policies can't be run any more."""
+        """Creates the loop; `on_failure` is called when the policies can't run any more."""
         self._core = shell.core
         self._signals = shell.signals
         self._log = shell.log
@@ -39,12 +39,12 @@
                 else:
                     await self._run_events()
         except PolicyProcessError as error:
-            # What was published stays in force; nothing of the failed answer goes out.
+            # Published orders stay in effect, and none of the failed reply is published.
             self._log.error("policy_failed", reason=str(error))
             self._on_failure()
 
     async def run_publishing(self, slot_us: int) -> None:
-        """Publishes once in each time slot, also while the policies are at work."""
+        """Publishes once per time slot, also while the policies are computing."""
         while True:
             await asyncio.sleep(_until_next_slot_s(slot_us))
             must_continue = self._core.publish_slot(monotonic_us())
@@ -54,7 +54,7 @@
             self._signals.core_changed.set()
 
     async def _run_events(self) -> None:
-        """Waits for events and lets the policies handle them."""
+        """Waits for events and has the policies handle them."""
         await self._signals.events_pending.wait()
         self._signals.events_pending.clear()
         batches = self._core.take_batches()
@@ -64,7 +64,7 @@
             self._signals.core_changed.set()
 
     async def _run_slot(self, slot_us: int) -> None:
-        """Waits for the next slot, or for an urgent change; timers fire with the slot alone."""
+        """Waits for the next slot or an urgent change; timers fire only at a slot."""
         is_urgent = await self._wait_for_slot(slot_us)
         batches = self._core.take_batches(is_urgent)
         if not batches and is_urgent:
@@ -73,9 +73,10 @@
         self._signals.core_changed.set()
 
     async def _handle_slot(self, batches: list[PolicyBatch], fires_timers: bool) -> None:
-        """Applies withdrawals first; other tasks run between the steps.
+        """Has the policies handle the events, and applies the replies, those with withdrawals first.
 
-        Otherwise polls would wait a tenth of a second for a hundred cells.
+        Other tasks run between the steps: applying the replies of a hundred cells without a break would delay
+        polls by a tenth of a second.
         """
         replies = await self._process.handle(monotonic_us(), batches, fires_timers)
         replies.sort(key=_has_no_withdrawal)
@@ -84,7 +85,7 @@
             await asyncio.sleep(0)
 
     async def _wait_for_slot(self, slot_us: int) -> bool:
-        """Waits until the slot ends, or (True) until a drain or exit is listed."""
+        """Waits until the slot ends; returns True if an urgent change came first."""
         urgent_change = self._signals.urgent_change
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(_until_next_slot_s(slot_us)):
