--- a/gradehoist/governor/policy_process.py
+++ b/gradehoist/governor/policy_process.py
@@ -1,6 +1,6 @@
-"""The policies in a process of their own, so that polls and withdrawals never wait for a decision.
+"""Runs the policies in a child process, so that polls and withdrawals never wait for a decision.
 
-This is the governor's end; `policy_host` is the child's.
+This module is the governor's end of the connection; `policy_host` is the child's.
 """
 
 from __future__ import annotations
@@ -27,41 +27,42 @@
 from gradehoist.governor.policy_instances import PolicyBatch, PolicyReply
 from gradehoist.interface import PolicyConfig
 
-FIRST_REPLY_TIMEOUT_S = 20.0  # Python's start on a loaded machine
-REPLY_TIMEOUT_S = 10.0  # ten times the work that a hundred cells have needed for one answer
-MAX_IDLE_CHECKS = 2  # looks at a child without progress after which it counts as stuck
+FIRST_REPLY_TIMEOUT_S = 20.0  # includes the start of Python on a loaded machine
+REPLY_TIMEOUT_S = 10.0  # ten times the longest time that one reply of a hundred cells has taken
+MAX_IDLE_CHECKS = 2  # number of checks without progress after which the child counts as stuck
 MIN_CHECK_INTERVAL_S = 0.05
-CHECKS_PER_GRACE_PERIOD = 4  # a stuck child is given up within three quarters of the grace period
+CHECKS_PER_GRACE_PERIOD = 4  # so a stuck child is detected within three quarters of the grace period
 MAX_FRAME_BYTES = 1 << 30
-EXIT_POLLS = 100  # looks at a child that should end by itself,
-EXIT_POLL_INTERVAL_S = 0.01  # and the time between them
+EXIT_POLLS = 100  # number of checks whether the child has exited before it is killed
+EXIT_POLL_INTERVAL_S = 0.01
 
 
 class PolicyProcessError(GovernorError):
-    """A policy raised, or the process ended or is stuck; nothing of its last answer may be used."""
+    """A policy raised an exception, or the process exited or is stuck; its last answer is unusable."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ChildProgress:
-    """What a look at the child has seen: the request that it works on, and its state."""
+    """The request that the child is working on, and the state of its process, at one check."""
 
     request: int
     state: str
 
 
 class PolicyProcess:
-    """Owns the child process. Requests are made one at a time.
+    """Owns the child process. The caller makes one request at a time.
 
     Attributes:
-        cpu_s: seconds of CPU that the policies have taken.
+        cpu_s: CPU time of the policies so far, in seconds.
     """
 
     def __init__(
         self, configs: list[PolicyConfig], now_us: int, runs_timers: bool, drain_grace_us: int
     ) -> None:
-        """Starts the child; one that is stuck is given up within three quarters of the grace period.
+        """Starts the child.
 
-        A withdrawal may wait behind it.
+        A stuck child is detected within three quarters of the grace period, because it may be delaying a
+        withdrawal.
         """
         ours, theirs = socket.socketpair()
         self._child = subprocess.Popen(
@@ -75,22 +76,22 @@
         self._start_message: StartPolicies | None = StartPolicies(configs, now_us, runs_timers)
         self._check_interval_s = max(MIN_CHECK_INTERVAL_S, drain_grace_us / (CHECKS_PER_GRACE_PERIOD * 1e6))
         self._request_count = 0
-        self._requested_at_s: float | None = None  # when the answer that is due was requested
+        self._requested_at_s: float | None = None  # start of the request in progress
         self._failure = ""
         self._watchdog: asyncio.Task[None] | None = None
 
     @property
     def pid(self) -> int:
-        """The child's process id."""
+        """The process id of the child."""
         return self._child.pid
 
     async def handle(
         self, now_us: int, batches: list[PolicyBatch], fires_timers: bool = True
     ) -> list[PolicyReply]:
-        """Gives the policies their events and returns their orders; without `fires_timers` timers wait.
+        """Gives the policies their events and returns their replies; timers fire only with `fires_timers`.
 
         Raises:
-            PolicyProcessError: there is no answer that may be used.
+            PolicyProcessError: there is no usable answer.
         """
         self._watchdog = self._watchdog or asyncio.ensure_future(self._run_watchdog())
         self._request_count += 1
@@ -107,7 +108,7 @@
         return [reply.unpack() for reply in answer.replies]
 
     async def close(self) -> None:
-        """Ends the child; it is killed if it does not end by itself."""
+        """Closes the connection and waits for the child to exit; kills it if it does not."""
         if self._watchdog:
             self._watchdog.cancel()
         self._stream.close()
@@ -128,9 +129,9 @@
         return answer
 
     async def _run_watchdog(self) -> None:
-        """Closes the socket of a child that owes an answer and is stuck, or takes too long.
+        """Closes the socket if a request is in progress and the child is stuck or exceeds the timeout.
 
-        Withdrawals waited for a stopped child for ever, and nothing reported it.
+        Without this, withdrawals waited forever for a stopped child, and nothing reported it.
         """
         idle_checks = 0
         before: _ChildProgress | None = None
@@ -142,19 +143,21 @@
             idle_checks = idle_checks + 1 if progress == before else 0
             before = progress
             waited_s = time.monotonic() - self._requested_at_s
-            # Not before the first answer: a start may wait for the disk, and it delays no withdrawal.
+            # Before the first answer an idle child is not stuck: it may be waiting for the disk, and it
+            # delays no withdrawal yet.
             is_first = self._request_count == 1
             is_stuck = idle_checks >= MAX_IDLE_CHECKS and not is_first
             if is_stuck or waited_s > (FIRST_REPLY_TIMEOUT_S if is_first else REPLY_TIMEOUT_S):
-                state = "makes no progress" if is_stuck else "is still at work"
-                self._failure = f"the policy process owes an answer for {waited_s:.1f} s and {state}"
+                state = "makes no progress" if is_stuck else "is still working"
+                self._failure = f"the policy process has not answered for {waited_s:.1f} s and {state}"
                 self._stream.close()
                 return
 
     def _child_state(self) -> str:
-        """Something that changes while the child works or waits for a core.
+        """Returns a value that changes while the child is working or waiting for a CPU.
 
-        Where the system does not report it, it always changes, and the timeout alone counts.
+        If the system does not report the process state, the value always changes, so that only the timeout
+        applies.
         """
         always_different = f"{time.monotonic()}"
         try:
