--- a/gradehoist/governor/proxy_sessions.py
+++ b/gradehoist/governor/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""The proxies that follow this governor: their polls, joins, acknowledgements and load reports. No I/O."""
+"""Handles the polls, joins, acknowledgements and load reports of proxies. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from gradehoist.interface import UpdateAcknowledged
 from gradehoist.protocol.feed import PollResponse, ProxyLoadReport
 
-RESPONSE_LINES = 4_000.0  # about what one answer brings: more than any table, less than a megabyte
+RESPONSE_LINES = 4_000.0  # target size of one answer: more than any table, less than a megabyte
 
 
 @dataclass(frozen=True, slots=True)
 class FeedPoll:
-    """One poll as it came in; `epoch` is empty and `stream` 0 where the proxy joins.
+    """A received poll; `epoch` is empty and `stream` is 0 if the proxy joins.
 
     Attributes:
-        proxy_name: the proxy's name, the same at every governor.
-        zone: name of its zone.
-        request_rate: requests a second that it usually receives.
-        epoch: of the governor that it follows.
-        stream: number of its stream.
-        acknowledged_seq: the last message that it has applied.
+        proxy_name: name of the proxy, which is the same at every governor.
+        zone: name of the proxy's zone.
+        request_rate: requests per second that the proxy usually receives.
+        epoch: epoch of the governor from which the proxy got its stream.
+        stream: number of the proxy's stream.
+        acknowledged_seq: number of the last message that the proxy has applied.
     """
 
     proxy_name: str
@@ -36,20 +36,20 @@
 
 
 class ProxySessions:
-    """Answers the polls of proxies and takes their load reports. The core owns it."""
+    """Answers the polls of proxies and accepts their load reports. The core owns it."""
 
     def __init__(self, state: CoreState) -> None:
-        """Starts without proxies."""
+        """Creates the sessions without proxies."""
         self._state = state
         self._join_count = 0
 
     def handle_poll(self, now_us: int, poll: FeedPoll) -> PollResponse | None:
-        """The answer to a poll, or None while there is none.
+        """Returns the answer to a poll, or None while there are no messages for the proxy.
 
-        A poll of an earlier epoch or stream joins again; the answer's epoch and stream say so.
+        A poll with an earlier epoch or stream joins again, and the answer contains the new epoch and stream.
 
         Raises:
-            RequestRejectedError: the proxy can't be served here.
+            RequestRejectedError: this governor can't serve the proxy.
         """
         if poll.zone not in self._state.identifiers.zones:
             raise RequestRejectedError(422, f"zone {poll.zone!r} is not in the settings")
@@ -67,7 +67,7 @@
         return PollResponse(epoch=self._state.epoch, stream=stream.number, messages=messages)
 
     def remove_proxy(self, proxy: int, reason: str, stream_number: int | None = None) -> None:
-        """Ends a proxy's stream; with `stream_number`, only if the proxy has not joined again since."""
+        """Ends a proxy's stream; with `stream_number`, only if the proxy has not rejoined since."""
         stream = self._state.publisher.streams.get(proxy)
         if stream is None or (stream_number is not None and stream.number != stream_number):
             return
@@ -76,10 +76,10 @@
         self._state.log.info("proxy_left", proxy=stream.proxy_name, reason=reason, stream=stream.number)
 
     def handle_load_report(self, report: ProxyLoadReport) -> None:
-        """Takes a proxy's load report.
+        """Accepts a proxy's load report.
 
         Raises:
-            RequestRejectedError: nothing of the report is taken.
+            RequestRejectedError: the report is invalid, and none of it has been used.
         """
         stream = self._find_stream(report.proxy)
         if stream is None or report.epoch != self._state.epoch:
@@ -94,19 +94,19 @@
                 "load_report_trimmed",
                 proxy=stream.proxy_name,
                 replica=unknown[0],
-                reason="is in no endpoint list of this governor; its row is left out",
+                reason="it was never in an endpoint list of this governor; its row is skipped",
             )
 
     def _find_stream(self, proxy_name: str) -> ProxyStream | None:
         return self._state.publisher.streams.get(self._state.identifiers.proxies.get(proxy_name, -1))
 
     def _check_join(self, earlier: ProxyStream | None) -> None:
-        """Raises RequestRejectedError if a proxy, perhaps with an earlier stream, can't join now."""
+        """Raises RequestRejectedError if a proxy with this earlier stream, if any, can't join now."""
         if not self._state.endpoint_list.endpoints:
-            # Bound now, a proxy would replace the tables that it has by empty ones.
+            # A proxy that is bound now would replace its tables by empty ones.
             raise RequestRejectedError(503, "no list of replicas yet; go on with what you hold")
         if earlier is None and len(self._state.publisher.streams) >= self._state.fleet.proxy_count:
-            # The queue is made for that number: with sixty invented names a withdrawal had no room in it.
+            # The queue limit is sized for that number: with sixty made-up proxies, withdrawals did not fit.
             raise RequestRejectedError(
                 503, f"all {self._state.fleet.proxy_count} relays of the settings are here already"
             )
@@ -129,7 +129,7 @@
             "proxy_joined",
             proxy=poll.proxy_name,
             zone=poll.zone,
-            reason="an earlier epoch" if has_earlier_epoch else "its poll",
+            reason="its poll names an earlier epoch" if has_earlier_epoch else "its poll",
             stream=stream.number,
         )
         return PollResponse(epoch=self._state.epoch, stream=stream.number, is_new_stream=True)
