--- a/gradehoist/governor/proxy_streams.py
+++ b/gradehoist/governor/proxy_streams.py
@@ -1,7 +1,7 @@
-"""One proxy's stream: what it was sent, what it acknowledged and why it has to be resynced. No I/O.
+"""The stream of one proxy: sent and acknowledged messages, and pending resyncs.
 
-Unacknowledged messages are kept up to a bound. Beyond it they are replaced by one full resync, so a proxy
-that reads slowly costs no more memory than its tables.
+Unacknowledged messages are kept up to a limit. Beyond it they are replaced by one full resync, so a slow
+proxy needs no more memory than its tables. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class OutOfOrderError(GovernorError):
-    """A poll acknowledges a message that this stream never sent; the proxy has to join again."""
+    """A poll acknowledges a message that was never sent; the proxy has to join again."""
 
 
 @dataclass(frozen=True, slots=True)
 class PendingAcknowledgement:
-    """Revisions that are acknowledged together with message `seq`; ordered at `ordered_us`."""
+    """Revisions that were ordered at `ordered_us` and are acknowledged with message `seq`."""
 
     seq: int
     revisions: tuple[PolicyRevision, ...]
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderedRevision:
-    """A revision of a policy, and when that policy ordered it (µs)."""
+    """A revision of a policy, and the time when the policy ordered it."""
 
     revision: PolicyRevision
     ordered_us: int
@@ -37,23 +37,24 @@
 
 @dataclass
 class ProxyStream:
-    """The messages of one proxy from a join to the next. The core owns it.
+    """The messages to one proxy between two joins. The core owns it.
 
     Attributes:
-        proxy: the proxy's index.
-        proxy_name: its name.
-        zone: index of its zone.
-        number: of the stream; a proxy that joins again gets a higher one.
+        proxy: index of the proxy.
+        proxy_name: name of the proxy.
+        zone: index of the proxy's zone.
+        number: number of the stream; a proxy that joins again gets a higher one.
         next_seq: number of the next message.
-        acknowledged_seq: the last message that the proxy applied.
-        sent_seq: the last message that an answer to a poll held.
-        unacknowledged: messages that the channel released and the proxy did not acknowledge.
-        unacknowledged_lines: their cost.
-        unacknowledged_since_us: since when the proxy acknowledges none of them; 0 while there are none.
-        pending: revisions that no poll has acknowledged, oldest first.
-        resync_reason: why a full resync is due; empty while none is.
+        acknowledged_seq: number of the last message that the proxy has applied.
+        sent_seq: number of the last message that was part of an answer to a poll.
+        unacknowledged: messages that the channel released and the proxy has not acknowledged.
+        unacknowledged_lines: total cost of these messages.
+        unacknowledged_since_us: time since which the proxy has acknowledged none of these messages; 0 while
+            there are none.
+        pending: revisions that have not been acknowledged, oldest first.
+        resync_reason: why a full resync is pending; empty while none is pending.
         resync_seq: number of the last full resync, which replaces all earlier messages.
-        last_poll_us: when the last poll came.
+        last_poll_us: time of the last poll.
         is_slow: whether a late acknowledgement has been logged.
         is_oversized: whether the proxy's tables are larger than the channel's queue.
         reported_unknown_replica: whether a report on an unlisted replica has been logged.
@@ -77,10 +78,10 @@
     is_oversized: bool = False
     reported_unknown_replica: bool = False
 
-    MAX_UNACKNOWLEDGED_LINES = 4_000.0  # a few tables of a large fleet; beyond, a resync is shorter
+    MAX_UNACKNOWLEDGED_LINES = 4_000.0  # a few tables of a large fleet; a resync is shorter than more lines
 
     def allocate_seq(self) -> int:
-        """The number for the next message."""
+        """Returns the number for the next message."""
         seq = self.next_seq
         self.next_seq += 1
         return seq
@@ -88,18 +89,18 @@
     def expect_acknowledgement(
         self, seq: int, revisions: tuple[PolicyRevision, ...], ordered_us: int
     ) -> None:
-        """Notes the revisions that message `seq` brings, if any."""
+        """Records the revisions that an acknowledgement of message `seq` covers, if any."""
         if revisions:
             self.pending.append(PendingAcknowledgement(seq=seq, revisions=revisions, ordered_us=ordered_us))
 
     def require_resync(self, reason: str) -> None:
-        """Drops the messages up to now: a full resync replaces them and is acknowledged for them."""
+        """Drops all messages so far: a full resync and its acknowledgement replace them."""
         self.resync_reason = self.resync_reason or reason
         self.unacknowledged.clear()
         self.unacknowledged_lines = 0.0
 
     def add_released(self, message: Message) -> bool:
-        """Takes a message that the channel released; False if a full resync replaces it."""
+        """Adds a message that the channel released; returns False if a full resync replaces it."""
         if self.resync_reason or message.seq < self.resync_seq:
             return False
         self.unacknowledged.append(message)
@@ -110,9 +111,9 @@
         return True
 
     def acknowledge(self, seq: int) -> list[OrderedRevision]:
-        """Takes the last message that the proxy has applied and returns the revisions that it confirms.
+        """Records the last message that the proxy has applied; returns the revisions that this acknowledges.
 
-        A lower number than before means that the proxy lost what it had: it is resynced.
+        A lower number than before means that the proxy lost its state and has to be resynced.
 
         Raises:
             OutOfOrderError: the message was never sent.
@@ -120,7 +121,8 @@
         if seq > self.sent_seq:
             raise OutOfOrderError(f"message {seq} was not sent; the last one was {self.sent_seq}")
         if seq < self.acknowledged_seq:
-            # Only once: the held poll is evaluated again and must not undo the resync that it waits for.
+            # The number is stored so that this happens once: the held poll is evaluated again, and must not
+            # cancel the resync that it waits for.
             self.acknowledged_seq = seq
             self.require_resync("went back")
             return []
@@ -134,7 +136,7 @@
         return confirmed
 
     def read(self, max_lines: float) -> tuple[Message, ...]:
-        """The answer to a poll: messages of about `max_lines` in all, at least one if there is any."""
+        """Returns the messages for an answer to a poll: about `max_lines` lines, and at least one message."""
         messages: list[Message] = []
         lines = 0.0
         for message in self.unacknowledged:
@@ -147,5 +149,5 @@
         return tuple(messages)
 
     def overdue_us(self, now_us: int) -> int:
-        """How long the oldest revision that was not acknowledged has been ordered; 0 if there is none."""
+        """Returns the age of the oldest unacknowledged revision; 0 if there is none."""
         return now_us - self.pending[0].ordered_us if self.pending else 0
