--- a/gradehoist/governor/publisher.py
+++ b/gradehoist/governor/publisher.py
@@ -1,7 +1,8 @@
-"""What both kinds of publisher share: the streams, the channel, and the full resync. No I/O.
+"""The base class of both publishers, with the streams, the channel and the full resync.
 
-A publisher brings the policies' orders to the proxies. `DirectPublisher` serves a single policy and sends
-each of its replies at once; `CellPublisher` serves many and sends what has changed, slot by slot.
+A publisher sends the policies' orders to the proxies. `DirectPublisher` serves a single policy and sends each
+reply at once; `CellPublisher` serves many policies and sends changes once per time slot. This module does no
+I/O.
 """
 
 from __future__ import annotations
@@ -19,27 +20,27 @@
 
 
 class Publisher(ABC):
-    """Sends the orders of the policies to the proxies. The core owns it; times are microseconds.
+    """Sends the orders of the policies to the proxies. The core owns it.
 
     Attributes:
-        streams: the proxies' streams, by proxy.
-        channel: the queue in front of the proxies.
-        tables: what the proxies together should hold.
-        reply_count: number of times at which orders were sent; it numbers the messages' replies.
+        streams: the streams of the connected proxies, by proxy.
+        channel: the queue of messages to all proxies.
+        tables: the tables, withdrawals and admissions that the policies have ordered.
+        reply_count: number of times at which orders were sent; messages carry it as their reply number.
     """
 
     def __init__(self, tables: PublishedTables, channel: Channel, policies: PolicySet, log: EventLog) -> None:
-        """Starts without proxies."""
+        """Creates a publisher without proxies."""
         self.streams: dict[int, ProxyStream] = {}
         self.channel = channel
         self.tables = tables
         self.reply_count = 0
         self._policies = policies
         self._log = log
-        self._resync_due: dict[int, None] = {}  # proxies
+        self._resync_due: dict[int, None] = {}  # a set of proxies, in order
 
     def add_proxy(self, stream: ProxyStream, request_rate: float) -> None:
-        """Adds a proxy that has joined, with the requests a second that it expects."""
+        """Adds a proxy that has joined, with the requests per second that it expects."""
         self.streams[stream.proxy] = stream
         self.channel.add_proxy(stream.proxy)
         self.tables.add_proxy(stream.proxy)
@@ -59,34 +60,34 @@
 
     @abstractmethod
     def apply(self, policy: int, order: Order) -> bool:
-        """Applies an order in the governor's indices; False if it has no effect."""
+        """Applies an order that uses the governor's indices; returns False if it has no effect."""
 
     @abstractmethod
     def finish_reply(self, policy: int, request: RequestAcknowledgement | None, now_us: int) -> None:
-        """Ends the reply of one policy, with the acknowledgement that it asks for, if any."""
+        """Ends the reply of one policy, with the acknowledgement that it requests, if any."""
 
     @abstractmethod
     def finish_replies(self, now_us: int) -> None:
-        """Ends the replies of one time and sends what goes at once."""
+        """Ends the replies of one time and sends the changes that do not wait for a time slot."""
 
     @abstractmethod
     def maintain_backlog(self) -> None:
-        """Does what is due about once a second."""
+        """Does periodic maintenance; called about once a second."""
 
     def publish_slot(self, now_us: int, *, replica_count: int, is_continuation: bool) -> bool:
-        """Sends what is due in a time slot; True if it has to be called again to continue."""
+        """Sends the messages of a time slot; returns True if it has to be called again to continue."""
         return False
 
     def migrate_tenant(self, tenant: str, cell: str, generation: int) -> bool:
-        """Changes a tenant's route; False if this publisher has none."""
+        """Changes a tenant's route; returns False if this publisher has no routes."""
         return False
 
     def request_resync(self, proxy: int) -> None:
-        """Has a proxy resynced whose stream requires it."""
+        """Schedules the resync of a proxy whose stream requires it."""
         self._resync_due[proxy] = None
 
     def send_resyncs(self, now_us: int) -> None:
-        """Sends the full resyncs that the channel has room for."""
+        """Sends the pending full resyncs for which the channel has capacity."""
         for proxy in list(self._resync_due):
             stream = self.streams.get(proxy)
             if stream is None or not stream.resync_reason:
@@ -95,7 +96,7 @@
                 self._send_resync(now_us, stream)
 
     def take_released(self, now_us: int) -> set[int]:
-        """Moves the messages that the channel releases to their streams; the proxies that can be answered."""
+        """Moves released messages to their streams; returns the proxies whose poll can be answered."""
         ready: set[int] = set()
         for item in self.channel.take_released(now_us):
             stream = self.streams.get(item.proxy)
@@ -110,11 +111,11 @@
         return ready
 
     def _resynced_revisions(self, proxy: int) -> tuple[PolicyRevision, ...]:
-        """The revisions that a full resync of the proxy confirms beside those of its stream."""
+        """Returns queued revisions that the acknowledgement of a full resync also covers."""
         return ()
 
     def _send_resync(self, now_us: int, stream: ProxyStream) -> None:
-        """Sends the full state, or what a proxy with oversized tables gets in its place."""
+        """Sends the full state, or only withdrawals if the proxy's tables exceed the queue limit."""
         snapshot = self.tables.proxy_snapshot(stream.proxy)
         is_complete = snapshot.cost_lines <= self.channel.queue_limit_lines
         if is_complete:
@@ -146,10 +147,10 @@
     def _reduce_to_withdrawals(
         self, stream: ProxyStream, deltas: Iterable[Delta], snapshot_lines: float
     ) -> PricedDeltas:
-        """What a proxy gets whose tables are larger than the queue may ever hold.
+        """Returns the withdrawals and restorations among the deltas, for a proxy with oversized tables.
 
-        It gets withdrawals and restorations for the tables that it has. Waiting for a resync that never
-        fits, it was not notified of any withdrawal.
+        The tables of such a proxy exceed the queue limit. If it waited for a resync that never fits, it would
+        not be notified of any withdrawal.
         """
         if not stream.is_oversized:
             stream.is_oversized = True
