--- a/gradehoist/governor/replica_leases.py
+++ b/gradehoist/governor/replica_leases.py
@@ -1,4 +1,4 @@
-"""Leases of the replicas, renewed by heartbeats with all assignments of tenants."""
+"""Renews the leases of replicas by heartbeats that carry the assignments of all tenants."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gradehoist.governor.tenant_assignments import TenantAssignments
 from gradehoist.net.client import ConnectError, ConnectionLostError, ResponseTimeoutError
 
-HEARTBEATS_PER_LEASE = 3  # two may be lost
+HEARTBEATS_PER_LEASE = 3  # a lease survives the loss of two heartbeats
 HEARTBEAT_TIMEOUT_S = 0.5
 HEARTBEAT_PATH = "/cell/lease"
 _ENCODER = msgspec.json.Encoder()
@@ -22,29 +22,30 @@
     """Renews the leases of all listed replicas. The service owns it."""
 
     def __init__(self, shell: ShellState, assignments: TenantAssignments) -> None:
-        """Each heartbeat carries all of `assignments`."""
+        """Creates the task's state; each heartbeat carries all of `assignments`."""
         self._core = shell.core
         self._clients = shell.clients
         self._tasks = shell.tasks
         self._assignments = assignments
-        self._in_flight = set[str]()  # addresses
+        self._in_flight = set[str]()  # addresses with a heartbeat in progress
 
     async def run(self, lease_us: int) -> None:
-        """Sends heartbeats until it is cancelled."""
+        """Sends heartbeats until the task is cancelled."""
         while True:
             directory = self._assignments.directory
             body = _ENCODER.encode((lease_us, directory.heartbeat_assignments()))
             addresses = {replica_address(e) for e in self._core.endpoint_list.endpoints.values()}
-            # One at a time: to a replica that hangs they were made faster than they ended.
+            # Each replica has at most one heartbeat in progress: for a replica that hangs, new ones would
+            # start faster than the old ones time out.
             for address in addresses - self._in_flight:
                 self._tasks.start(self.renew(address, body))
             await asyncio.sleep(lease_us / (HEARTBEATS_PER_LEASE * 1e6))
 
     async def renew(self, address: str, body: bytes) -> None:
-        """Sends one heartbeat; that it fails is that replica's loss alone."""
+        """Sends one heartbeat; a failure affects only the lease of this replica."""
         self._in_flight.add(address)
         try:
-            # A ValueError is for an address that is none.
+            # A malformed address raises ValueError.
             with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError, ValueError):
                 client = self._clients.get(address)
                 await client.request("POST", HEARTBEAT_PATH, body, timeout_s=HEARTBEAT_TIMEOUT_S)
