--- a/gradehoist/governor/service.py
+++ b/gradehoist/governor/service.py
@@ -1,6 +1,7 @@
-"""The governor process: it connects the core with sockets, files, the policy process and the fleet.
+"""The governor process, which connects the core with sockets, files, the policy process and the fleet.
 
-`GovernorService` starts and ends the parts of the shell. Each of them has one task or one kind of request.
+`GovernorService` starts and stops the components that do I/O. Each of them runs one task or handles one kind
+of request.
 """
 
 from __future__ import annotations
@@ -41,21 +42,21 @@
 MAX_CONNECTIONS = 20_000
 MIN_CONNECTIONS = 16
 LISTEN_BACKLOG = 4096
-MAX_CLOCK_WAIT_S = 0.5  # between two looks at what is due
-FINAL_RESPONSES_S = 0.05  # in which the last responses leave at the end
+MAX_CLOCK_WAIT_S = 0.5  # between checks whether the core has something due
+FINAL_RESPONSES_S = 0.05  # time to send the last responses before the connections are closed
 GC_THRESHOLDS = (50_000, 20, 1_000)
 
 
 class GovernorService:
-    """One governor.
+    """One governor process.
 
     Attributes:
-        core: its core.
+        core: the state machine of the governor.
         settings: the settings of this governor.
     """
 
     def __init__(self, fleet: FleetSettings, settings: GovernorSettings) -> None:
-        """Makes all parts; `run` starts them."""
+        """Creates all components; `run` starts them."""
         now_us = monotonic_us()
         self.fleet = fleet
         self.settings = settings
@@ -91,17 +92,17 @@
         self._process: PolicyProcess | None = None
         self._stopping = asyncio.Event()
         self._has_failed = False
-        self._max_clock_lag_s = 0.0  # of the clock task since the last status request
+        self._max_clock_lag_s = 0.0  # maximum delay of the clock task since the last status request
 
     async def run(self) -> int:
-        """Serves until `stop` is called or something fails; returns the exit code.
+        """Serves until `stop` is called or a task fails; returns the exit code.
 
         Raises:
             StateError: the state folder can't be used.
-            OSError: the address can't be had.
+            OSError: the address can't be bound.
         """
-        # Nearly all objects live long: full collections at the usual rate stop the loop for tens of
-        # milliseconds at a thousand proxies.
+        # Nearly all objects are long-lived: with the default thresholds, full collections stop the event loop
+        # for tens of milliseconds at a thousand proxies.
         gc.set_threshold(*GC_THRESHOLDS)
         lock = self._lock_state_folder()
         try:
@@ -111,11 +112,11 @@
                 lock.release()
 
     def stop(self) -> None:
-        """Ends `run`."""
+        """Makes `run` shut down and return."""
         self._stopping.set()
 
     def status(self) -> dict[str, Any]:
-        """The answer to `GET /v1/status`; `lag_ms` is the worst since the last call."""
+        """Returns the answer to `GET /v1/status`; `lag_ms` is the maximum since the last call."""
         max_lag_s = self._max_clock_lag_s
         self._max_clock_lag_s = 0.0
         process = self._process
@@ -130,7 +131,7 @@
         }
 
     def load_state(self) -> None:
-        """Reads what an earlier start has persisted.
+        """Loads the state that an earlier run persisted.
 
         Raises:
             StateError: the tenants' assignments can't be read.
@@ -159,16 +160,16 @@
         return ZoneCoordination(self._shell, coordination.zones, self._membership, now_us)
 
     def _lock_state_folder(self) -> FolderLock | None:
-        """Locks the state folder; on a disk that takes no lock a governor serves all the same.
+        """Locks the state folder; if the file system does not support locks, the governor runs without one.
 
-        Two governors of one folder would each lack the assignments that the other has taken, and renew
-        leases for tenants that have migrated.
+        Two governors with one folder would each miss the assignments that the other has accepted, and would
+        renew leases for tenants that have migrated.
         """
         folder = self.settings.state_folder
         try:
             return FolderLock(folder)
         except FolderLockedError as error:
-            raise StateError(f"{error}; name another folder, or end that process") from None
+            raise StateError(f"{error}; use another folder, or stop that process") from None
         except OSError as error:
             self._log.warning("state_lock_failed", path=str(folder), reason=str(error))
             return None
@@ -190,7 +191,7 @@
         self._start_tasks(process)
         await self._stopping.wait()
         await self._shut_down(process)
-        self._log.info("governor_stopped", reason="it failed" if self._has_failed else "requested")
+        self._log.info("governor_stopped", reason="a task failed" if self._has_failed else "requested")
         return 1 if self._has_failed else 0
 
     def _start_tasks(self, process: PolicyProcess) -> None:
@@ -217,7 +218,7 @@
         await process.close()
 
     async def _run_clock(self) -> None:
-        """Advances the core whenever something is due, and carries its effects out."""
+        """Advances the core whenever something is due, and carries out the resulting effects."""
         while True:
             due_us = self.core.next_due_us()
             await self._wait_until(due_us)
@@ -230,13 +231,13 @@
             self._carry_out_effects()
 
     async def _wait_until(self, due_us: int) -> None:
-        """Waits until `due_us`, a change of the core, or the longest wait."""
+        """Waits until `due_us`, until the core changes, or for the maximum wait."""
         wait_s = max(0.0, (due_us - monotonic_us()) / 1e6)
         if not wait_s:
             await asyncio.sleep(0)
             return
-        # Not wait_for: before Python 3.12 it loses a cancellation that coincides with the event, and a busy
-        # governor then never stopped.
+        # asyncio.wait_for is not used: before Python 3.12 it loses a cancellation that coincides with the
+        # event, and a busy governor then never stopped.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(min(wait_s, MAX_CLOCK_WAIT_S)):
                 await self._signals.core_changed.wait()
@@ -265,16 +266,16 @@
         self._fail()
 
     def _fail(self) -> None:
-        """Ends `run` with exit code 1."""
+        """Makes `run` return exit code 1."""
         self._has_failed = True
         self._stopping.set()
 
 
 def _max_connections() -> int:
-    """How many connections proxies may hold open.
+    """Returns how many connections proxies may keep open.
 
-    The limit on open files is raised as far as it goes; a quarter of it is left for the list service,
-    leases, health checks, the policy process, state and the log.
+    The limit on open files is raised to its hard limit. A quarter of it is reserved for the list service,
+    leases, health checks, the policy process, state files and the log.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     with contextlib.suppress(ValueError, OSError):
