--- a/gradehoist/governor/shell_state.py
+++ b/gradehoist/governor/shell_state.py
@@ -1,4 +1,4 @@
-"""What the parts of the governor's shell share: the core, and the signals between its tasks."""
+"""The state that the components of the service share: the core, and the signals between their tasks."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Signals:
-    """Events by which one task of the shell wakes another.
+    """Events by which one task of the service wakes another.
 
     Attributes:
-        core_changed: the core may have something due earlier than planned.
-        events_pending: the policies have events to be given.
-        urgent_change: a drain or exit was listed that must not wait for the next slot.
+        core_changed: the core may have something due earlier than scheduled.
+        events_pending: the policies have pending events.
+        urgent_change: a replica is listed as draining or gone, which must not wait for the next slot.
     """
 
     core_changed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -30,15 +30,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ShellState:
-    """Owned by the service and given to its parts.
+    """The state that the service owns and passes to its components.
 
     Attributes:
-        core: the governor's core.
+        core: the state machine of the governor.
         settings: the settings of this governor.
-        signals: wake its tasks.
-        clients: connections to replicas.
-        tasks: the background tasks; the failure of one ends the governor.
-        log: the process's log.
+        signals: events that wake the tasks.
+        clients: HTTP clients for the replicas.
+        tasks: the background tasks; if one fails, the governor stops.
+        log: the log of the process.
     """
 
     core: GovernorCore
