--- a/gradehoist/governor/status.py
+++ b/gradehoist/governor/status.py
@@ -1,4 +1,4 @@
-"""The governor in figures, as `GET /v1/status` answers it. The keys are part of the HTTP API."""
+"""The answer to `GET /v1/status`. Its keys are part of the HTTP API."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def core_status(core: GovernorCore) -> dict[str, Any]:
-    """The figures of the core."""
+    """Returns the status of the core."""
     endpoint_list = core.endpoint_list
     replicas = core.identifiers.replicas.names
     return {
