--- a/gradehoist/governor/stream_monitor.py
+++ b/gradehoist/governor/stream_monitor.py
@@ -1,4 +1,7 @@
-"""Once a second: ends the streams of proxies that are gone, and logs what is slow. No I/O."""
+"""Ends the streams of unresponsive proxies, and logs slow proxies and a slow channel.
+
+The checks run once a second. This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,14 @@
 from gradehoist.governor.core_state import CoreState
 
 CHECK_INTERVAL_US = 1_000_000
-SLOW_CHANNEL_SHARE = 0.5  # of the stated rate: below it the channel counts as slow
+SLOW_CHANNEL_SHARE = 0.5  # of the configured rate; a channel below it counts as slow
 
 
 class StreamMonitor:
-    """Watches the streams and the channel of one publisher. The core owns it."""
+    """Monitors the streams and the channel of one publisher. The core owns it."""
 
     def __init__(self, state: CoreState, remove_proxy: Callable[[int, str], None], now_us: int) -> None:
-        """`remove_proxy` ends a proxy's stream for the reason given."""
+        """Creates a monitor; `remove_proxy` ends the stream of a proxy and logs a reason."""
         self._fleet = state.fleet
         self._publisher = state.publisher
         self._remove_proxy = remove_proxy
@@ -23,7 +26,7 @@
         self._is_channel_slow = False
 
     def advance(self, now_us: int) -> None:
-        """Makes the checks if a second has passed since the last ones."""
+        """Runs the checks if a second has passed since they last ran."""
         if now_us < self._checked_us + CHECK_INTERVAL_US:
             return
         self._checked_us = now_us
@@ -33,10 +36,10 @@
         self._log_slow_proxies(now_us)
 
     def _remove_silent(self, now_us: int) -> None:
-        """Removes proxies that do not poll, and those that poll and acknowledge nothing.
+        """Removes proxies that do not poll, and proxies that poll without acknowledging anything.
 
-        What the latter never acknowledged counted as waiting for good, and the weights and restorations of
-        all other proxies stopped.
+        Messages that a proxy never acknowledges would count as in flight forever, and would block the weights
+        and restorations of all other proxies.
         """
         streams = self._publisher.streams
         silent_since_us = now_us - self._fleet.poll_hold_us - self._fleet.silence_limit_us
@@ -59,7 +62,7 @@
         self._is_channel_slow = is_slow
         fields = {
             "lines_per_s": round(channel.measured_lines_per_s),
-            "reason": f"stated are {channel.lines_per_s:g}",
+            "reason": f"the configured rate is {channel.lines_per_s:g}",
         }
         if is_slow:
             self._log.warning("channel_slowed", **fields)
@@ -67,7 +70,7 @@
             self._log.info("channel_recovered", **fields)
 
     def _log_slow_proxies(self, now_us: int) -> None:
-        """Logs once that a proxy has not acknowledged an order within the grace period."""
+        """Logs proxies that have not acknowledged an order within the grace period, each once."""
         for stream in self._publisher.streams.values():
             overdue_us = stream.overdue_us(now_us)
             is_slow = overdue_us > self._fleet.safety.drain_grace_us
@@ -75,6 +78,6 @@
                 self._log.warning(
                     "acknowledgement_delayed",
                     proxy=stream.proxy_name,
-                    reason=f"has not acknowledged an order of {overdue_us / 1e6:.1f} s ago",
+                    reason=f"it has not acknowledged an order from {overdue_us / 1e6:.1f} s ago",
                 )
             stream.is_slow = is_slow
