--- a/gradehoist/governor/tables.py
+++ b/gradehoist/governor/tables.py
@@ -1,7 +1,7 @@
-"""The policies' tables, withdrawals and admission as ordered so far, and what each order means to each proxy.
+"""The current tables, withdrawals and admissions, and the proxies and deltas that each order affects.
 
-Costs are counted in lines as `interface.ChannelLimits` does: a message costs its overhead and one line for
-each delta, and a table that binds a proxy one line more for each weight. No I/O.
+Costs are counted in lines, as in `interface.ChannelLimits`: a message costs its overhead and one line for
+each delta, and a table that is bound costs one more line for each weight. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
     WithdrawalDelta,
 )
 
-WEIGHT_DIGITS = 6  # decimals of a weight on the wire
+WEIGHT_DIGITS = 6  # decimal places of a weight on the wire
 
 
 class Admission(NamedTuple):
-    """The admitted share of a class, and how its proxies retry (0 to 3)."""
+    """The admitted share of a class, and its retry policy (0 to 3)."""
 
     admitted_share: float
     retry_policy: int
 
 
 class TableUpdate(NamedTuple):
-    """One order's effect: the proxies that it concerns, their delta, and its cost in lines."""
+    """The effect of one order: the affected proxies, their delta, and its cost in lines."""
 
     proxies: Iterable[int]
     delta: Delta
@@ -42,23 +42,23 @@
 
 
 class PricedDeltas(NamedTuple):
-    """Deltas, and their cost in lines."""
+    """A list of deltas and their total cost in lines."""
 
     deltas: list[Delta]
     cost_lines: float
 
 
 class PublishedTables:
-    """The state that the proxies together should hold. All indices are the governor's.
+    """The state that the policies have ordered for all proxies. All indices are the governor's.
 
     Attributes:
-        weights: by table and replica.
-        bindings: by proxy: the table of each class.
-        bound_proxies: by table: the proxies that are bound to it, in the order of their binding.
-        withdrawn: replicas that are withdrawn, in the order of their withdrawal.
-        admission: by table (None is everywhere) and class.
-        route: where tenants live; None without cells.
-        rate_limits: what each proxy admits at most; None without limits.
+        weights: the weight of each replica, by table and replica.
+        bindings: the table of each class, by proxy and class.
+        bound_proxies: the proxies that are bound to each table, in the order of their binding.
+        withdrawn: withdrawn replicas, in the order of their withdrawal.
+        admission: the admission by table (None means all tables) and class.
+        route: the cells of the tenants; None without cells.
+        rate_limits: the request rates that each proxy may admit; None without limits.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         route: TenantRoutes | None = None,
         rate_limits: RateLimitsDelta | None = None,
     ) -> None:
-        """Starts without tables."""
+        """Creates the state without tables and proxies."""
         self.identifiers = identifiers
         self.message_overhead_lines = message_overhead_lines
         self.route = route
@@ -80,7 +80,7 @@
         self.admission: dict[tuple[int | None, int], Admission] = {}
 
     def add_proxy(self, proxy: int) -> None:
-        """Adds a proxy that is bound to no table yet."""
+        """Adds a proxy that is not bound to a table yet."""
         self.bindings[proxy] = {}
 
     def remove_proxy(self, proxy: int) -> None:
@@ -89,11 +89,11 @@
             self.bound_proxies[table].pop(proxy, None)
 
     def count_common_admission(self) -> int:
-        """Number of admissions that apply everywhere; each message is charged for them."""
+        """Returns the number of admissions for all tables; the cost of each message includes them."""
         return sum(table is None for table, _ in self.admission)
 
     def apply(self, order: Order) -> TableUpdate:
-        """Applies an order other than a binding.
+        """Applies an order other than a binding and returns its effect.
 
         Raises:
             TypeError: the order does not change tables.
@@ -107,10 +107,10 @@
                 return self._withdraw_replica(order)
             case SetAdmission():
                 return self._set_admission(order)
-        raise TypeError(f"no order for tables: {order!r}")
+        raise TypeError(f"the order does not change tables: {order!r}")
 
     def bind_proxy(self, proxy: int, table: int, classes: tuple[int, ...]) -> bool:
-        """Binds a proxy to a table; True if the proxy was bound to no table before.
+        """Binds a proxy to a table; returns True if the proxy was not bound to a table before.
 
         Raises:
             KeyError: the proxy has left.
@@ -125,30 +125,31 @@
         return is_first
 
     def bind(self, proxy: int, table: int, classes: tuple[int, ...]) -> PricedDeltas:
-        """Binds a proxy and returns the table with all that comes with it; nothing if the proxy has left."""
+        """Binds a proxy and returns the deltas for it; returns no deltas if the proxy has left."""
         if proxy not in self.bindings:
             return PricedDeltas([], 0.0)
         is_first = self.bind_proxy(proxy, table, classes)
         snapshot = self.table_snapshot(table, self._expand_classes(classes))
         deltas = snapshot.deltas
-        if is_first:  # the first binding of a stream ends withdrawals and admission of earlier streams
+        # The first binding of a stream clears the withdrawals and admissions of earlier streams.
+        if is_first:
             deltas = deltas + self.initial_deltas()
         cost_lines = snapshot.cost_lines + len(self.withdrawn) + self.count_common_admission()
         return PricedDeltas(deltas, cost_lines)
 
     def table_snapshot(self, table: int, classes: tuple[int, ...]) -> PricedDeltas:
-        """A table bound for `classes`, with the admission that is its own."""
+        """Returns the complete table for `classes`, with the admissions that apply only to it."""
         deltas = [self._bind_delta(table, classes), *self._admission_deltas(lambda at: at == table)]
         return PricedDeltas(deltas, float(len(deltas) + len(self.weights.get(table, {}))))
 
     def initial_deltas(self) -> list[Delta]:
-        """What the first binding of a stream brings beside its table."""
+        """Returns the deltas that follow the table of a stream's first binding."""
         return (
             self._withdrawal_deltas() + self._admission_deltas(lambda at: at is None) + self._tenant_deltas()
         )
 
     def proxy_snapshot(self, proxy: int) -> PricedDeltas:
-        """Everything that a proxy should hold; the cost includes the message's overhead."""
+        """Returns the full state of a proxy; the cost includes the message's overhead."""
         classes_by_table: dict[int, list[int]] = {}
         for request_class, table in self.bindings.get(proxy, {}).items():
             classes_by_table.setdefault(table, []).append(request_class)
@@ -164,7 +165,7 @@
         return PricedDeltas(deltas, self.message_overhead_lines + len(deltas) + lines)
 
     def make_weight_delta(self, table: int, replica: int, weight: float) -> WeightDelta:
-        """One weight as proxies get it; 0 removes the replica from the table."""
+        """Returns the delta for one weight; 0 removes the replica from the table."""
         return WeightDelta(
             table=table,
             replica=self.identifiers.replicas.names[replica],
@@ -194,8 +195,9 @@
         else:
             self.withdrawn.pop(order.replica, None)
             delta = RestorationDelta(name)
-        # To all proxies, not only to those whose tables name the replica: under a flapping list its weights
-        # leave and return between the two orders, and a proxy that missed the second avoided it for good.
+        # The order goes to all proxies, not only to those whose tables contain the replica: with a flapping
+        # list its weights may be removed and added again between the two orders, and a proxy that missed the
+        # restoration would never use the replica again.
         return TableUpdate(list(self.bindings), delta, 1)
 
     def _set_admission(self, order: SetAdmission) -> TableUpdate:
@@ -214,7 +216,7 @@
         return TableUpdate(list(concerned), delta, 1)
 
     def _expand_classes(self, classes: tuple[int, ...]) -> tuple[int, ...]:
-        """No classes at all stand for every class."""
+        """Returns the classes; an empty tuple means every class."""
         return classes or tuple(range(len(self.identifiers.classes)))
 
     def _bind_delta(self, table: int, classes: tuple[int, ...]) -> BindDelta:
