--- a/gradehoist/governor/tenant_assignments.py
+++ b/gradehoist/governor/tenant_assignments.py
@@ -1,4 +1,4 @@
-"""Where tenants are assigned: taken from the migration runner and persisted before they are confirmed."""
+"""Accepts tenant assignments from the migration runner, and persists them before acknowledging them."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     """The directory of tenants and its file. The service owns it.
 
     Attributes:
-        directory: all assignments that are known here.
+        directory: all assignments that this governor knows.
     """
 
     def __init__(self, shell: ShellState) -> None:
-        """Starts with an empty directory; `load` reads the persisted one."""
+        """Creates an empty directory; `load` reads the persisted one."""
         self.directory = TenantDirectory(shell.settings.name)
         self._core = shell.core
         self._signals = shell.signals
@@ -33,10 +33,10 @@
         self._writing = asyncio.Lock()
 
     def load(self) -> None:
-        """Reads the persisted assignments, if there are any.
+        """Loads the persisted assignments, if there are any.
 
         Raises:
-            StateError: the file can't be read. A governor that started without it would renew leases of
+            StateError: the file can't be read. A governor that started without it would renew the leases of
                 replicas for tenants that have migrated away.
         """
         for assignment in self._read():
@@ -44,10 +44,10 @@
             self._core.handle_migration(assignment.tenant, assignment.cell, assignment.generation)
 
     async def accept(self, assignment: TenantAssignment) -> AssignmentAck:
-        """Takes an assignment and persists it before it is confirmed.
+        """Applies and persists an assignment, and then returns its acknowledgement.
 
         Raises:
-            RequestRejectedError: it can't be persisted; the sender has to repeat it.
+            RequestRejectedError: the assignment can't be persisted; the sender has to repeat it.
         """
         async with self._writing:
             directory, acknowledgement = self.directory.apply_assignment(assignment)
@@ -75,4 +75,4 @@
         except msgspec.MsgspecError as error:
             raise StateError(f"{self._path} can't be read ({error}); put back a copy") from None
         except OSError as error:
-            raise StateError(f"{self._path} can't be read ({error.strerror}); see to the folder") from None
+            raise StateError(f"{self._path} can't be read ({error.strerror}); check the folder") from None
