--- a/gradehoist/governor/zone_coordination.py
+++ b/gradehoist/governor/zone_coordination.py
@@ -1,7 +1,8 @@
-"""A governor's part in what the fleet agrees on zones.
+"""Connects one governor with the zone coordination of the fleet.
 
-It writes this governor's health report, and plans and allocations while it leads; it takes what the fleet has
-agreed and gives the policies their quotas. Everything happens on the membership's ticks. No I/O of its own.
+This module writes the governor's health report and, while the governor is the leader, plans and allocations.
+It passes the quotas that the fleet agreed on to the policies. All work happens on the ticks of the
+membership, which also does the I/O.
 """
 
 from __future__ import annotations
@@ -33,15 +34,17 @@
 Version = TypeVar("Version")
 
 ELECTION = "zones"
-LIST_TIMEOUT_US = 15_000_000  # an endpoint list not confirmed for so long is lost; requests are held for 5 s
-TICK_INTERVAL_US = 500_000  # a step of an evacuation takes seconds to show anyway
-REPORT_INTERVAL_US = 3_000_000  # a report is written at least so often
-REPORT_TTL_US = 3 * REPORT_INTERVAL_US  # an older report counts for nothing
-PLANNING_PERIODS = 2  # report periods in which a policy plans once for each group of proxies
+# An endpoint list counts as lost if it is not confirmed for this long; the list service holds requests for 5
+# s.
+LIST_TIMEOUT_US = 15_000_000
+TICK_INTERVAL_US = 500_000  # short enough, as a step of an evacuation takes seconds to have an effect
+REPORT_INTERVAL_US = 3_000_000  # maximum time between two reports
+REPORT_TTL_US = 3 * REPORT_INTERVAL_US  # older reports are ignored
+PLANNING_PERIODS = 2  # load report periods within which a policy plans once for each group of proxies
 
 
 class _Write(Enum):
-    """What this governor writes to the coordination store, each at most once at a time."""
+    """The kinds of records that this governor writes, each with at most one write in progress."""
 
     REPORT = "report"
     PLAN = "plan"
@@ -49,26 +52,26 @@
 
 
 class _Rollout(Generic[Version]):
-    """A version of the plan or the allocation on its way into the proxies' tables.
+    """Tracks when a version of the plan or the allocation is applied in the tables of all proxies.
 
     Attributes:
-        applied: the version that the tables of all proxies hold.
+        applied: the version that the tables of all proxies contain.
     """
 
     def __init__(self, version: Version) -> None:
-        """Starts with a version that all tables hold."""
+        """Starts with a version that all tables contain."""
         self.applied = version
         self._latest = version
-        self._ordered_us = 0  # when the policies have ordered what the latest version changes
+        self._ordered_us = 0  # when the policies will have ordered the changes of the latest version
 
     def begin(self, version: Version, ordered_us: int) -> None:
-        """Notes the version that is in force; the policies will have ordered its changes at `ordered_us`."""
+        """Sets the current version; the policies will have ordered its changes at `ordered_us`."""
         if version != self._latest:
             self._latest = version
             self._ordered_us = ordered_us
 
     def advance(self, now_us: int, core: GovernorCore) -> None:
-        """Notes that the version is applied once all proxies have acknowledged it."""
+        """Marks the version as applied once all proxies have acknowledged it."""
         if self.applied == self._latest or now_us < self._ordered_us:
             return
         if core.is_acknowledged(self._ordered_us):
@@ -79,13 +82,13 @@
     """Connects the zone coordinator with the membership and the core. The service owns it.
 
     Attributes:
-        stats: what this governor observes of each zone.
+        stats: observations of each zone by this governor.
     """
 
     def __init__(
         self, shell: ShellState, timing: EvacuationTiming, membership: Membership, now_us: int
     ) -> None:
-        """Registers with the membership, on whose ticks it works."""
+        """Creates the coordination and registers its listeners with the membership."""
         fleet = shell.core.fleet
         self.stats = ZoneStats(fleet, now_us)
         self._core = shell.core
@@ -96,7 +99,7 @@
         self._coordinator = _make_coordinator(fleet, timing, membership)
         self._election = membership.join_election(ELECTION, membership.settings.lost_after_us)
         self._planning_us = PLANNING_PERIODS * fleet.load_reporting.period_us
-        self._ticked_us = now_us  # the membership's last tick, whether or not it was due here
+        self._ticked_us = now_us  # the membership's last tick, including ticks on which nothing was due
         self._next_tick_us = 0
         self._list_confirmed_us = now_us
         self._quotas = ZoneQuotas({}, 1.0, {})
@@ -105,14 +108,14 @@
         self._allocation = _Rollout(-1)
         self._reported = (self._plan.applied, self._allocation.applied)
         self._reported_us = -REPORT_INTERVAL_US
-        self._pending_writes = dict[_Write, str]()  # with the tokens of their proposals
+        self._pending_writes = dict[_Write, str]()  # the token of the proposal, by kind of record
         membership.key_listeners.append(self._handle_change)
         membership.proposal_listeners.append(self._handle_outcome)
         membership.tick_listeners.append(self.tick)
         membership.failure_listeners.append(self.release_quotas)
 
     def status(self) -> dict[str, Any]:
-        """The `zones` object of the HTTP status."""
+        """Returns the `zones` object of the HTTP status."""
         health = self._coordinator.health
         plan = self._coordinator.plan
         allocation = self._coordinator.allocation
@@ -128,7 +131,7 @@
         }
 
     def confirm_endpoint_list(self, now_us: int) -> None:
-        """Notes that the list service has confirmed the endpoint list."""
+        """Records that the list service has confirmed the endpoint list."""
         self._list_confirmed_us = now_us
 
     def add_load_report(self, now_us: int, report: ProxyLoadReport) -> None:
@@ -139,7 +142,7 @@
         self.stats.add_load_report(now_us, zone, report, self._core.endpoint_list.endpoints)
 
     def tick(self, now_us: int) -> None:
-        """Does what is due, at the membership's ticks."""
+        """Does the periodic work that is due; called on each tick of the membership."""
         self._ticked_us = now_us
         if now_us < self._next_tick_us:
             return
@@ -154,18 +157,18 @@
         if not is_joined:
             return
         self._write_report(now_us)
-        # Every governor assesses: the next one to lead has to know what the zones can bear.
+        # Every governor assesses the zones, because the next leader has to know their capacity.
         self._coordinator.assess_health(now_us)
         if self._election.fencing_token is not None:
             self._write_decisions(now_us, self._election.fencing_token)
 
     def release_quotas(self) -> None:
-        """Ends all quotas: the membership has failed, and without its ticks the last ones stayed for good."""
+        """Ends all quotas, as they would never change again once the membership has failed."""
         self._core.set_quotas({}, {}, {})
         self._events_pending.set()
 
     def _handle_change(self, key: str) -> None:
-        """Takes a record of the store that has changed."""
+        """Passes a changed record of the coordination store to the coordinator."""
         agent = self._membership.agent
         if key == PLAN_KEY:
             self._handle_plan(agent.decode_record(PLAN_KEY, EvacuationPlan))
@@ -194,13 +197,13 @@
         )
 
     def _handle_outcome(self, token: str, outcome: CommitOutcome) -> None:
-        """Notes that a proposal has ended, whatever its outcome."""
+        """Removes a finished proposal from the pending writes, whatever its outcome."""
         self._pending_writes = {
             write: pending for write, pending in self._pending_writes.items() if pending != token
         }
 
     def _apply_quotas(self, now_us: int) -> None:
-        """Gives the policies the quotas in force, if they have changed."""
+        """Gives the policies the current quotas if they have changed."""
         quotas = self._coordinator.current_quotas(now_us, self.stats.request_rate)
         warming_up = self._core.warming_up_replicas(now_us) if quotas.warmup_quota < 1.0 else ()
         if quotas == self._quotas and warming_up == self._warming_up:
@@ -223,7 +226,7 @@
         self._allocation.advance(now_us, self._core)
 
     def _write_report(self, now_us: int) -> None:
-        """Writes the health report if what it confirms has changed or the last one grows old."""
+        """Writes the health report if the applied versions have changed or the last report is outdated."""
         applied = (self._plan.applied, self._allocation.applied)
         is_recent = now_us - self._reported_us < REPORT_INTERVAL_US
         if _Write.REPORT in self._pending_writes or (applied == self._reported and is_recent):
@@ -250,7 +253,7 @@
         )
 
     def _write_decisions(self, now_us: int, token: FencingToken) -> None:
-        """As the leader, writes the next plan and the next allocation, if any are due."""
+        """Writes the next plan and the next allocation if they are due; only the leader calls it."""
         agent = self._membership.agent
         if _Write.PLAN not in self._pending_writes:
             plan = self._coordinator.next_plan(now_us, token)
@@ -278,7 +281,7 @@
         )
         for request_class in fleet.classes
     }
-    # The tables of a governor that has gone may be in use until its proxies have joined others.
+    # Proxies may use the tables of a stopped governor until they have joined another governor.
     drain_timeout_us = fleet.poll_hold_us + fleet.silence_limit_us + fleet.safety.drain_grace_us
     config = CoordinatorConfig(
         classes=constraints,
