--- a/gradehoist/governor/zone_stats.py
+++ b/gradehoist/governor/zone_stats.py
@@ -1,6 +1,6 @@
-"""What a governor has observed of each zone in the last seconds, for the health report. No I/O.
+"""Observations of each zone in the last seconds, for the health report.
 
-The counts are kept in one window a second, of which the last few stay.
+Counts are kept in windows of one second, of which the last few are used. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,7 +15,9 @@
 from gradehoist.zones.health import ZoneObservation
 
 WINDOW_US = 1_000_000
-WINDOW_COUNT = 6  # a failing zone shows within seconds, and a few slow reports are not all there is
+# With six windows a failing zone is visible within seconds, and a few slow reports do not dominate the
+# counts.
+WINDOW_COUNT = 6
 
 
 @dataclass
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OfferedKey:
-    """The zone of the proxies that the requests came to, and their class."""
+    """The zone of the proxies that received the requests, and the request class."""
 
     zone: str
     request_class: str
@@ -44,7 +46,10 @@
 
 @dataclass
 class _Window:
-    """The counts of one second; `responsive` and `failing` hold replicas with and without a success."""
+    """The counts of one second; `responsive` holds replicas with a success in a report.
+
+    `failing` holds replicas with attempts but without a success in a report.
+    """
 
     began_us: int
     zones: dict[str, _ZoneCounts] = field(default_factory=dict)
@@ -58,13 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneStatsSnapshot:
-    """What the kept windows say at one time.
+    """The totals of all windows at one time.
 
     Attributes:
         window_us: the time that the windows cover.
-        requests_per_s: requests that came to this governor's proxies.
-        observations: by zone.
-        offered_by_zone: requests a second by the zone of the proxies and by class.
+        requests_per_s: requests per second that the proxies of this governor received.
+        observations: the observation of each zone.
+        offered_by_zone: requests per second by the zone of the proxies and by class.
     """
 
     window_us: int
@@ -77,7 +82,7 @@
     """Counts of load reports and health checks by zone. `ZoneCoordination` owns it."""
 
     def __init__(self, fleet: FleetSettings, now_us: int) -> None:
-        """Starts without counts."""
+        """Creates empty counts."""
         self._fleet = fleet
         self._windows = deque([_Window(now_us)])
         self._latency_objective_us = min(c.latency_objective_us for c in fleet.classes)
@@ -85,7 +90,7 @@
 
     @property
     def request_rate(self) -> float:
-        """Requests a second over the windows that are kept."""
+        """Requests per second over all windows."""
         windows = self._windows
         span_us = max(WINDOW_US, windows[-1].began_us + WINDOW_US - windows[0].began_us)
         return sum(count for window in windows for count in window.offered.values()) * 1e6 / span_us
@@ -93,7 +98,7 @@
     def add_load_report(
         self, now_us: int, zone: str, report: ProxyLoadReport, endpoints: Mapping[str, EndpointRecord]
     ) -> None:
-        """Counts an accepted report of a proxy in `zone`; a replica that is not listed belongs to no zone."""
+        """Adds an accepted report of a proxy in `zone`; rows of unlisted replicas are skipped."""
         window = self._window(now_us)
         for row in report.attempts:
             endpoint = endpoints.get(row.replica)
@@ -116,14 +121,14 @@
             window.offered[key] = window.offered.get(key, 0) + offered.requests
 
     def add_health_check(self, now_us: int, zone: str, is_healthy: bool) -> None:
-        """Counts a health check of a replica in `zone`."""
+        """Adds the outcome of a health check of a replica in `zone`."""
         counts = self._window(now_us).zone(zone)
         counts.health_checks += 1
         if not is_healthy:
             counts.failed_health_checks += 1
 
     def snapshot(self, now_us: int, endpoint_list: EndpointList) -> ZoneStatsSnapshot:
-        """The observations of all zones of the settings, as they are now."""
+        """Returns the current observations of all zones in the settings."""
         self._window(now_us)
         window_us = max(WINDOW_US, now_us - self._windows[0].began_us)
         self._busy_shares = {
@@ -175,13 +180,13 @@
         )
 
     def _warmup_capacity(self, age_us: int) -> float:
-        """The part of its capacity that a replica of this age bears."""
+        """Returns the share of its capacity that a replica of this age has, which grows during warm-up."""
         safety = self._fleet.safety
         start = safety.warmup_start_capacity
         return min(1.0, start + (1 - start) * age_us / max(1, safety.warmup_us))
 
     def _count_silent(self, ready: list[str]) -> int:
-        """Replicas with failures and without any success."""
+        """Returns the number of replicas with failures and without any success."""
         responsive = {replica for window in self._windows for replica in window.responsive}
         failing = {replica for window in self._windows for replica in window.failing}
         return len((failing & set(ready)) - responsive)
