--- a/gradehoist/governor/order_reasons.py
+++ b/gradehoist/governor/order_reasons.py
@@ -32,7 +32,7 @@
         return "listed as gone"
     if availability is Availability.EJECTED:
         return f"ejected: most of its attempts fail (ejection {actor.ejections})"
-    if replica in policy.fleet.replicas.waiting:
+    if replica in policy.fleet.replicas.held_back:
         return "warming up; waits while the pool is at capacity or too few replicas are back"
     if actor.state.endpoint.phase is Phase.DRAINING:
         return "listed as draining"
--- a/gradehoist/governor/zone_coordination.py
+++ b/gradehoist/governor/zone_coordination.py
@@ -147,7 +147,7 @@
         if now_us < self._next_tick_us:
             return
         self._next_tick_us = now_us + TICK_INTERVAL_US
-        is_joined = self._membership.agent.is_joined
+        is_joined = self._membership.participant.is_joined
         if is_joined:
             self._coordinator.on_store_recovered(now_us)
         else:
@@ -169,14 +169,14 @@
 
     def _handle_change(self, key: str) -> None:
         """Passes a changed record of the coordination store to the coordinator."""
-        agent = self._membership.agent
+        participant = self._membership.participant
         if key == PLAN_KEY:
-            self._handle_plan(agent.decode_record(PLAN_KEY, EvacuationPlan))
+            self._handle_plan(participant.decode_record(PLAN_KEY, EvacuationPlan))
         elif key == ALLOCATION_KEY:
-            self._coordinator.on_allocation(agent.decode_record(ALLOCATION_KEY, QuotaAllocation))
+            self._coordinator.on_allocation(participant.decode_record(ALLOCATION_KEY, QuotaAllocation))
         elif key.startswith(REPORTS_PREFIX):
             observer = key.removeprefix(REPORTS_PREFIX)
-            report = agent.decode_record(key, HealthReport)
+            report = participant.decode_record(key, HealthReport)
             self._coordinator.on_report(self._ticked_us, observer, report)
 
     def _handle_plan(self, plan: EvacuationPlan | None) -> None:
@@ -233,9 +233,9 @@
             return
         self._reported = applied
         self._reported_us = now_us
-        agent = self._membership.agent
+        participant = self._membership.participant
         report = self._make_report(now_us)
-        change = agent.build_put(REPORTS_PREFIX + agent.identity.name, report, owned_by_session=True)
+        change = participant.build_put(REPORTS_PREFIX + participant.identity.name, report, owned_by_session=True)
         self._propose(_Write.REPORT, change)
 
     def _make_report(self, now_us: int) -> HealthReport:
@@ -254,15 +254,15 @@
 
     def _write_decisions(self, now_us: int, token: FencingToken) -> None:
         """Writes the next plan and the next allocation if they are due; only the leader calls it."""
-        agent = self._membership.agent
+        participant = self._membership.participant
         if _Write.PLAN not in self._pending_writes:
             plan = self._coordinator.next_plan(now_us, token)
             if plan is not None:
-                self._propose(_Write.PLAN, agent.build_put(PLAN_KEY, plan))
+                self._propose(_Write.PLAN, participant.build_put(PLAN_KEY, plan))
         if _Write.ALLOCATION not in self._pending_writes:
             allocation = self._coordinator.next_allocation(now_us, token)
             if allocation is not None:
-                self._propose(_Write.ALLOCATION, agent.build_put(ALLOCATION_KEY, allocation))
+                self._propose(_Write.ALLOCATION, participant.build_put(ALLOCATION_KEY, allocation))
 
     def _propose(self, write: _Write, change: Change) -> None:
         if token := self._membership.propose(change):
@@ -292,4 +292,4 @@
         fallback_hold_us=settings.fallback_hold_us,
         fallback_ramp_us=settings.fallback_ramp_us,
     )
-    return ZoneCoordinator(membership.agent.identity.incarnation, config)
+    return ZoneCoordinator(membership.participant.identity.incarnation, config)
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -299,7 +299,7 @@
             else [(2, 8, 2 * SECOND_US), (3, 8, 2 * SECOND_US)]
         )
     assert (
-        taken[0].elapsed_us == 300
+        taken[0].mean_latency_us == 300
         and taken[0].failures == 2
         and taken[0].load == i.LoadReport(0.5, None, None)
     )
