--- a/gradehoist/net/__init__.py
+++ b/gradehoist/net/__init__.py
@@ -1,1 +1,1 @@
-"""Tornado shells round the protocol package: they carry bytes and keep deadlines."""
+"""Network clients and servers on Tornado: I/O and timeouts for the protocols of `gradehoist.protocol`."""
--- a/gradehoist/net/background_tasks.py
+++ b/gradehoist/net/background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of one owner, which learns of failures and ends all of them together."""
+"""A group of background tasks whose owner is notified of failures and can cancel all of them."""
 
 from __future__ import annotations
 
@@ -8,26 +8,29 @@
 
 
 class BackgroundTasks:
-    """Tasks that run until they end by themselves or `cancel` is called."""
+    """Tasks that run until they complete or `cancel` is called."""
 
     def __init__(self, on_failure: Callable[[BaseException], None]) -> None:
-        """`on_failure` gets the exception of each task that raises; a cancelled task is no failure."""
+        """Creates an empty group; `on_failure` is called with the exception of each task that raises.
+
+        A cancelled task is not a failure.
+        """
         self._on_failure = on_failure
         self._tasks = set[asyncio.Task[None]]()
 
     def __iter__(self) -> Iterator[asyncio.Task[None]]:
-        """The tasks that are running."""
+        """Iterates over the running tasks."""
         return iter(self._tasks)
 
     def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Runs the coroutine as a task."""
+        """Starts a task that runs the coroutine."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
 
     async def cancel(self) -> None:
-        """Cancels all tasks and waits for their ends."""
+        """Cancels all tasks and waits until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
