--- a/gradehoist/net/client.py
+++ b/gradehoist/net/client.py
@@ -1,4 +1,4 @@
-"""An HTTP client over Tornado's IOStream: reused connections to one address, a deadline for each request."""
+"""An HTTP client on Tornado's IOStream with connection reuse and a timeout for each request."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from gradehoist.protocol import http
 from gradehoist.protocol.http_parser import Parser
 
-CONNECT_TIMEOUT_S = 0.25  # within one site a connection takes milliseconds
-IDLE_TIMEOUT_S = 15.0  # half of the time after which our own server closes an idle connection
+CONNECT_TIMEOUT_S = 0.25  # connecting within one site takes milliseconds
+IDLE_TIMEOUT_S = 15.0  # half of the time after which HttpServer closes an idle connection
 REQUEST_TIMEOUT_S = 5.0
-_MAX_BUFFER_BYTES = 64 << 20  # beyond the largest body that limits allow
+_MAX_BUFFER_BYTES = 64 << 20  # more than the largest body that http.Limits allows
 _READ_BYTES = 1 << 18
 
 
 class HttpClientError(Exception):
-    """A request to `host`:`port` that has no response."""
+    """A request to `host`:`port` failed without a response."""
 
     def __init__(self, host: str, port: int, reason: str) -> None:
-        """Makes the text of the address and the reason."""
+        """Builds the message from the address and the reason."""
         super().__init__(f"{host}:{port}: {reason}")
         self.host = host
         self.port = port
@@ -31,19 +31,19 @@
 
 
 class ConnectError(HttpClientError):
-    """There was no connection: nothing was sent."""
+    """No connection was established; nothing was sent."""
 
 
 class ConnectionLostError(HttpClientError):
-    """The connection ended, or what came was not HTTP; the request may have been carried out."""
+    """The connection closed or the response was malformed; the request may have been carried out."""
 
 
 class ResponseTimeoutError(HttpClientError):
-    """There was no response by the deadline; the request may have been carried out."""
+    """No complete response arrived in time; the request may have been carried out."""
 
 
 class _Connection:
-    """A connection for one request at a time, which is watched while it is idle."""
+    """A connection that carries one request at a time and is read from while it is idle."""
 
     def __init__(self, stream: IOStream, limits: http.Limits) -> None:
         self.stream = stream
@@ -52,11 +52,11 @@
         self._pending_read: asyncio.Future[bytes] | None = None
 
     def start_read(self) -> None:
-        """Starts to read, which goes on while the connection is idle. Raises StreamClosedError."""
+        """Starts a read, which stays pending while the connection is idle. Raises StreamClosedError."""
         self._pending_read = asyncio.ensure_future(self.stream.read_bytes(_READ_BYTES, partial=True))
 
     async def read(self, timeout_s: float) -> bytes:
-        """Returns what arrives next. Raises StreamClosedError, TimeoutError."""
+        """Returns the next received bytes. Raises StreamClosedError and TimeoutError."""
         if self._pending_read is None:
             self.start_read()
         reading, self._pending_read = self._pending_read, None
@@ -67,9 +67,9 @@
         return data
 
     def is_reusable(self) -> bool:
-        """True if it is open and nothing has arrived since the last response.
+        """Whether the connection is open and nothing has arrived since the last response.
 
-        Bytes that arrive while no request is under way would pass for the response to the next one.
+        Bytes that arrive between requests would be taken for the response to the next request.
         """
         if self.stream.closed() or self._pending_read is None or self._pending_read.done():
             return False
@@ -83,9 +83,10 @@
 
 
 class HttpClient:
-    """Connections to `host`:`port`; the owner calls `close`.
+    """A client for `host`:`port`; the owner has to call `close`.
 
-    A connection carries one request at a time and is reused within `idle_timeout_s` of its last use.
+    A connection carries one request at a time and is reused if its last use is less than `idle_timeout_s`
+    ago.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         idle_timeout_s: float = IDLE_TIMEOUT_S,
         limits: http.Limits | None = None,
     ) -> None:
-        """Opens no connection yet."""
+        """Creates a client; connections are opened on demand."""
         self.host = host
         self.port = port
         self._connect_timeout_s = connect_timeout_s
@@ -113,15 +114,16 @@
         headers: http.Headers = (),
         timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> http.Response:
-        """Sends a request and returns its final response; a cancelled request closes its connection.
+        """Sends a request and returns its final response; cancellation closes the connection.
 
-        Nothing is sent twice. Where a reused connection closes, nobody knows whether the request was carried
-        out, and even a GET may have an effect, as a poll of the feed does.
+        Requests are never retried. When a reused connection closes, it is unknown whether the request was
+        carried out, and even a GET may have an effect, as a poll of the feed does.
 
         Raises:
-            ConnectError: There was no connection.
-            ConnectionLostError: The connection ended before the response did.
-            ResponseTimeoutError: The response did not end within `timeout_s`.
+            ConnectError: No connection was established.
+            ConnectionLostError: The connection closed before the response was complete, or the response is
+            malformed.
+            ResponseTimeoutError: The response was not complete within `timeout_s`.
         """
         clock = asyncio.get_running_loop().time
         deadline_s = clock() + timeout_s
@@ -135,11 +137,11 @@
             reusable = response.keep_alive and connection.parser.is_between_messages
             return response
         except TimeoutError:
-            raise self._error(ResponseTimeoutError, f"no answer within {timeout_s:.3g} s") from None
+            raise self._error(ResponseTimeoutError, f"no response within {timeout_s:.3g} s") from None
         except StreamClosedError:
             response_at_end = _response_at_end(connection)
             if response_at_end is None:
-                raise self._error(ConnectionLostError, "closed before the answer") from None
+                raise self._error(ConnectionLostError, "connection closed before the response") from None
             return response_at_end
         except http.ProtocolError as error:
             raise self._error(ConnectionLostError, error.reason) from None
@@ -147,7 +149,7 @@
             self._release(connection, reusable)
 
     def close(self) -> None:
-        """Closes all connections; requests under way raise ConnectionLostError."""
+        """Closes all connections; pending requests raise ConnectionLostError."""
         for connection in list(self._connections):
             self._discard(connection)
         self._idle_connections.clear()
@@ -162,10 +164,11 @@
 
     async def _connect(self) -> _Connection:
         try:
-            own_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:  # no file descriptor left: unhandled, it once ended the governor
+            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        except OSError as error:
+            # No file descriptor is left. This error was once unhandled and terminated the governor.
             raise self._error(ConnectError, str(error.strerror)) from None
-        stream = IOStream(own_socket, max_buffer_size=_MAX_BUFFER_BYTES)
+        stream = IOStream(sock, max_buffer_size=_MAX_BUFFER_BYTES)
         try:
             await gen.with_timeout(
                 timedelta(seconds=self._connect_timeout_s),
@@ -174,7 +177,7 @@
             )
         except (TimeoutError, StreamClosedError, OSError) as error:
             stream.close()
-            raise self._error(ConnectError, str(error) or "no connection in time") from None
+            raise self._error(ConnectError, str(error) or "connecting timed out") from None
         stream.set_nodelay(True)
         connection = _Connection(stream, self._limits)
         self._connections.add(connection)
@@ -210,7 +213,7 @@
 
 
 def _response_at_end(connection: _Connection) -> http.Response | None:
-    """Returns the response that the end of the connection completes, if there is one."""
+    """Returns the response that the end of the connection completes, if any."""
     try:
         events = connection.parser.receive_eof()
     except http.ProtocolError:
