--- a/gradehoist/net/server.py
+++ b/gradehoist/net/server.py
@@ -1,4 +1,4 @@
-"""An HTTP server over Tornado's IOStream, with one task for each connection."""
+"""An HTTP server on Tornado's IOStream with one task for each connection."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 MAX_CONNECTIONS = 20_000
 _READ_BYTES = 65_536
-_RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # struct linger: on, zero seconds
+_RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # struct linger: enabled, zero seconds
 
 
 @dataclass(frozen=True, slots=True)
 class ServerResponse:
-    """What a handler answers; the server adds the content length."""
+    """A handler's response; the server adds the content length."""
 
     status: int = 200
     body: bytes = b""
@@ -32,7 +32,7 @@
 
 
 def json_response(document: Any, status: int = 200) -> ServerResponse:
-    """Returns a response with `document` encoded in JSON."""
+    """Returns a response with `document` as JSON."""
     return ServerResponse(
         status=status,
         body=msgspec.json.encode(document),
@@ -41,16 +41,16 @@
 
 
 def error_response(status: int, reason: str) -> ServerResponse:
-    """Returns a response that says why a request was rejected."""
+    """Returns a JSON response that gives the reason why a request was rejected."""
     return json_response({"error": reason}, status)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerTimeouts:
-    """How long a peer may take before its connection is closed, in seconds.
+    """Time limits in seconds after which a peer's connection is closed.
 
-    `idle_s` bounds the time between requests, `request_s` that from a request's first byte to its last, which
-    is answered with 408, and `write_s` that in which the peer takes a response.
+    `idle_s` limits the time between requests, `request_s` the time from a request's first byte to its last
+    (the response is then 408) and `write_s` the time in which the peer has to read a response.
     """
 
     idle_s: float = 30.0
@@ -59,19 +59,19 @@
 
 
 class Connection:
-    """A peer's connection; `closed` is set once it is gone, which a handler that waits can await."""
+    """A peer's connection; `closed` is set when it is closed, so that a handler can wait for that."""
 
     def __init__(self, stream: IOStream) -> None:
-        """Takes over the stream's close callback."""
+        """Wraps a stream and sets its close callback."""
         self.stream = stream
         self.closed = asyncio.Event()
         stream.set_close_callback(self.closed.set)
 
     def abort(self) -> None:
-        """Closes with a reset, as the operating system does for a process that was killed."""
-        own_socket = self.stream.socket
-        if own_socket is not None and not self.stream.closed():
-            own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+        """Closes the connection with a TCP reset, which is what a peer sees after the process is killed."""
+        sock = self.stream.socket
+        if sock is not None and not self.stream.closed():
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.stream.close()
 
 
@@ -79,7 +79,7 @@
 
 
 class HttpServer:
-    """Passes each request to `handler`, in order for each connection.
+    """Passes each request to `handler`; the requests of one connection are handled in order.
 
     A handler that returns None closes the connection without a response. Connections beyond `max_connections`
     are closed at once.
@@ -92,7 +92,7 @@
         timeouts: ServerTimeouts | None = None,
         max_connections: int = MAX_CONNECTIONS,
     ) -> None:
-        """Listens nowhere yet."""
+        """Creates a server; `listen` starts it."""
         self._handler = handler
         self._limits = limits or http.Limits()
         self._timeouts = timeouts or ServerTimeouts()
@@ -102,15 +102,15 @@
         self._tasks = set[asyncio.Task[None]]()
 
     def listen(self, port: int, address: str, backlog: int = 128) -> None:
-        """Starts to accept connections. Raises OSError where the address cannot be bound."""
+        """Starts accepting connections. Raises OSError if the address cannot be bound."""
         self._listener.listen(port, address, backlog)
 
     def stop(self) -> None:
-        """Stops accepting connections; those that are open go on."""
+        """Stops accepting connections; open connections stay open."""
         self._listener.stop()
 
     def abort(self) -> None:
-        """Stops accepting and resets every connection, as the death of the process does."""
+        """Stops accepting and resets every connection, as if the process were killed."""
         self.stop()
         for connection in list(self.connections):
             connection.abort()
@@ -131,37 +131,37 @@
         try:
             await self._serve(connection)
         except (StreamClosedError, ConnectionError):
-            pass  # the peer is gone
+            pass  # the peer closed the connection
         finally:
             self.connections.discard(connection)
             connection.stream.close()
 
     async def _serve(self, connection: Connection) -> None:
-        """Reads and answers requests until the connection is to be closed."""
+        """Reads and answers requests until the connection has to be closed."""
         parser = Parser(http.Role.SERVER, self._limits)
         clock = asyncio.get_running_loop().time
-        request_began_s: float | None = None
+        request_started_s: float | None = None
         while True:
-            if request_began_s is None:
+            if request_started_s is None:
                 timeout_s = self._timeouts.idle_s
             else:
-                timeout_s = max(0.0, request_began_s + self._timeouts.request_s - clock())
+                timeout_s = max(0.0, request_started_s + self._timeouts.request_s - clock())
             try:
                 async with asyncio.timeout(timeout_s):
                     data = await read_available(connection.stream, _READ_BYTES)
             except TimeoutError:
-                if request_began_s is not None:
+                if request_started_s is not None:
                     await self._write_error(connection, 408, "the request took too long to come")
                 return
-            if request_began_s is None:
-                request_began_s = clock()
+            if request_started_s is None:
+                request_started_s = clock()
             if not await self._answer_requests(parser, data, connection):
                 return
             if parser.is_between_messages:
-                request_began_s = None
+                request_started_s = None
 
     async def _answer_requests(self, parser: Parser, data: bytes, connection: Connection) -> bool:
-        """Answers the requests that `data` completes; False if the connection is to be closed."""
+        """Answers the requests that `data` completes; False if the connection has to be closed."""
         while True:
             try:
                 events = parser.receive(data)
@@ -173,10 +173,10 @@
                     return False
             if not events or parser.is_between_messages:
                 return True
-            data = b""  # an error behind complete messages shows at the next call
+            data = b""  # the parser reports an error after complete messages only at the next call
 
     async def _answer(self, event: http.Event, connection: Connection) -> bool:
-        """Answers one event of the parser; False if the connection is to be closed."""
+        """Answers one event of the parser; False if the connection has to be closed."""
         if isinstance(event, http.ContinueExpected):
             await self._write(connection, http.format_response(100))
             return True
@@ -196,7 +196,7 @@
         await self._write(connection, data)
 
     async def _write(self, connection: Connection, data: bytes) -> None:
-        """Waits until the peer has taken the data. Raises StreamClosedError, also if that takes too long."""
+        """Writes the data and waits until it is sent. Raises StreamClosedError, also on a timeout."""
         try:
             await gen.with_timeout(
                 timedelta(seconds=self._timeouts.write_s),
