--- a/gradehoist/net/etcd.py
+++ b/gradehoist/net/etcd.py
@@ -1,7 +1,7 @@
-"""The coordination store on an etcd cluster that exists already, through its v3 interface over HTTP and JSON.
+"""The coordination store on an existing etcd cluster, through etcd's v3 API over HTTP and JSON.
 
-All keys lie below one prefix. etcd has no commit ids, so that a record's value is stored together with the
-id of its commit: `[commit_id, value]` in JSON, the value in base 64. Sessions are leases. Reads are
+All keys have a common prefix. etcd has no commit ids, so a record's value is stored together with the id of
+its commit as the JSON array `[commit_id, value]`, with the value in base64. Sessions are leases. Reads are
 linearizable.
 """
 
@@ -63,81 +63,81 @@
 
 
 class EtcdStore:
-    """A `CoordinationStore` on the etcd server at `host`:`port`, below `key_prefix`.
+    """A `CoordinationStore` on the etcd server at `host`:`port`, with all keys below `key_prefix`.
 
-    Its methods raise the errors that `gradehoist.coordination.store` names. One watch stream is kept over
-    many calls of `watch`, and opened again where a call does not go on from the one before.
+    Its methods raise the errors defined in `gradehoist.coordination.store`. One watch stream serves
+    successive calls of `watch`; it is reopened if a call does not continue where the previous one ended.
     """
 
     def __init__(self, host: str, port: int, key_prefix: str = "gradehoist/") -> None:
-        """Opens no connection yet."""
+        """Creates a client; connections are opened on demand."""
         self._client = EtcdClient(f"http://{host}:{port}")
         self._key_prefix = key_prefix.encode()
-        self._store_id = ""  # as last seen by the watch
+        self._store_id = ""  # the cluster id last seen by the watch
         self._watch: _PrefixWatch | None = None
 
     async def read(self, prefix: str) -> StoreSnapshot:
-        """Returns all records below `prefix`, none older than a commit that ended before the call."""
+        """Returns all records below `prefix`, including every commit that completed before the call."""
         try:
-            found = await self._client.call("/v3/kv/range", self._key_range(prefix), RangeResponse)
+            response = await self._client.call("/v3/kv/range", self._key_range(prefix), RangeResponse)
         except EtcdError as error:
             raise StoreUnavailableError(error.message) from None
         return StoreSnapshot(
-            store_id=str(found.header.cluster_id),
-            revision=found.header.revision,
-            records=tuple(self._record(key_value) for key_value in found.kvs),
+            store_id=str(response.header.cluster_id),
+            revision=response.header.revision,
+            records=tuple(self._record(key_value) for key_value in response.kvs),
         )
 
     async def commit(self, changes: tuple[Change, ...], commit_id: str) -> Committed | CommitRejected:
-        """Writes all changes, or none where one expects another version than its record has."""
+        """Writes all changes, or none if a record's version is not the one that its change expects."""
         check_sizes(changes)
         request = self._transaction(changes, commit_id)
         try:
-            found = await self._client.call("/v3/kv/txn", request, TransactionResponse, is_write=True)
+            response = await self._client.call("/v3/kv/txn", request, TransactionResponse, is_write=True)
         except EtcdError as error:
             raise self._commit_error(error) from None
-        if found.succeeded:
-            return Committed(found.header.revision)
+        if response.succeeded:
+            return Committed(response.header.revision)
         records = [
             self._record(key_value)
-            for response in found.responses
-            for key_value in response.response_range.kvs
+            for operation in response.responses
+            for key_value in operation.response_range.kvs
         ]
-        return CommitRejected(found.header.revision, tuple(records))
+        return CommitRejected(response.header.revision, tuple(records))
 
     async def open_session(self, ttl_us: int) -> str:
-        """Returns the id of a new session; its time is rounded up to whole seconds."""
+        """Opens a session and returns its id; the time to live is rounded up to whole seconds."""
         ttl_s = -(-ttl_us // _US_PER_S)
         request = LeaseGrantRequest(str(ttl_s))
         try:
-            found = await self._client.call("/v3/lease/grant", request, LeaseGrantResponse, is_write=True)
+            response = await self._client.call("/v3/lease/grant", request, LeaseGrantResponse, is_write=True)
         except EtcdError as error:
             raise StoreUnavailableError(error.message) from None
-        return str(found.lease_id)
+        return str(response.lease_id)
 
     async def renew_session(self, session_id: str) -> int:
         """Renews a session and returns the store's revision."""
         try:
-            found = await self._client.call(
+            response = await self._client.call(
                 "/v3/lease/keepalive", LeaseRequest(session_id), KeepAliveResponse
             )
         except EtcdError as error:
             if error.code == NOT_FOUND:
                 raise SessionEndedError(error.message) from None
             raise StoreUnavailableError(error.message) from None
-        if found.result.ttl_s <= 0:
+        if response.result.ttl_s <= 0:
             raise SessionEndedError(f"session {session_id} has ended")
-        return found.result.header.revision
+        return response.result.header.revision
 
     async def end_session(self, session_id: str) -> None:
-        """Ends a session; one that has ended already is no error."""
+        """Ends a session; it is not an error if it has ended already."""
         with contextlib.suppress(EtcdError):
             await self._client.call(
                 "/v3/lease/revoke", LeaseRequest(session_id), LeaseRevokeResponse, is_write=True
             )
 
     async def watch(self, prefix: str, after_revision: int, wait_us: int) -> WatchBatch:
-        """Returns the changes below `prefix` since a revision; waits up to `wait_us` for the first one."""
+        """Returns the changes below `prefix` after a revision; waits up to `wait_us` for the first one."""
         watch = self._watch_from(prefix, after_revision)
         clock = asyncio.get_running_loop().time
         deadline = clock() + wait_us / _US_PER_S
@@ -148,8 +148,9 @@
                 if batch is None:
                     continue
                 if batch.revision < after_revision:
-                    # The stream begins behind what was asked for: after a rollback it would skip all
-                    # changes up to there, so the next watch opens one of its own.
+                    # The store's revision is behind the requested one, so the store was rolled back. The
+                    # stream would skip all changes up to the requested revision; the next watch opens a new
+                    # stream.
                     self._close_watch()
                     return batch
                 watch.revision = batch.revision
@@ -166,7 +167,7 @@
             raise
 
     async def close(self) -> None:
-        """Ends the watch stream and closes all connections."""
+        """Closes the watch stream and all connections."""
         self._close_watch()
         self._client.close()
 
@@ -189,13 +190,13 @@
         if error.code == NOT_FOUND:
             return SessionEndedError(error.message)
         if error.code == RESOURCE_EXHAUSTED and "space" in error.message:
-            return StoreFullError(f"{self._client.base_url}: {error.message}; free some of its space")
+            return StoreFullError(f"{self._client.base_url}: {error.message}; free up space in it")
         return StoreUnavailableError(f"{self._client.base_url}: {error.message}")
 
-    # The watch
+    # Watch
 
     def _watch_from(self, prefix: str, after_revision: int) -> _PrefixWatch:
-        """Returns the open watch, or a new one where it does not continue at this prefix and revision."""
+        """Returns the open watch, or a new one if the open one is for another prefix or revision."""
         watch = self._watch
         if watch is not None and watch.prefix == prefix and watch.revision == after_revision:
             return watch
@@ -216,16 +217,14 @@
             self._watch = None
 
     def _batch_from_line(self, line: bytes, after_revision: int) -> WatchBatch | None:
-        """Returns the batch of a line of the stream, or None for one that brings no change."""
+        """Returns the batch of a line of the stream, or None if the line has no changes."""
         try:
             document: dict[str, msgspec.Raw] = msgspec.json.decode(line, type=dict[str, msgspec.Raw])
             if "error" in document:
                 raise classify_error(msgspec.json.decode(line), HTTP_OK, StoreUnavailableError)
             message: WatchMessage = msgspec.json.decode(line, type=WatchMessage, strict=False)
         except msgspec.MsgspecError:
-            raise StoreUnavailableError(
-                f"{self._client.base_url}: a line of the watch that is not JSON"
-            ) from None
+            raise StoreUnavailableError(f"{self._client.base_url}: watch line is not valid JSON") from None
         if message.result is None:
             return None
         return self._batch_from_result(message.result, after_revision)
@@ -234,17 +233,19 @@
         if result.header.cluster_id is not None:
             self._store_id = str(result.header.cluster_id)
         if result.compact_revision:
-            raise HistoryCompactedError(f"changes up to {result.compact_revision} are not kept")
+            raise HistoryCompactedError(
+                f"changes up to revision {result.compact_revision} have been compacted"
+            )
         if result.canceled:
             raise StoreUnavailableError(f"{self._client.base_url}: watch cancelled: {result.cancel_reason}")
         events = [self._event(event) for event in result.events]
-        # A watch may repeat events that it brought already.
+        # A watch may repeat events that it has already delivered.
         new_events = tuple(event for event in events if event.revision > after_revision)
         if new_events:
             return self._watch_batch(after_revision, new_events[-1].revision, new_events)
         revision = result.header.revision
         if result.created and revision is not None and revision < after_revision:
-            return self._watch_batch(after_revision, revision, ())  # the store went back
+            return self._watch_batch(after_revision, revision, ())  # the store was rolled back
         return None
 
     def _watch_batch(self, after_revision: int, revision: int, events: tuple[WatchEvent, ...]) -> WatchBatch:
@@ -283,7 +284,7 @@
 
 @dataclass
 class _PrefixWatch:
-    """A watch stream; `revision` is the one up to which it has been read."""
+    """A watch stream that has been read up to `revision`."""
 
     stream: WatchStream
     prefix: str
@@ -298,7 +299,7 @@
 
 
 def _end_of_prefix(prefix: bytes) -> bytes:
-    r"""Returns the first key behind all that begin with `prefix`; b"\0" stands for the end of all keys."""
+    r"""Returns the first key after all keys with `prefix`; b"\0" means the end of the key space."""
     stem = prefix.rstrip(b"\xff")
     if not stem:
         return b"\0"
