--- a/gradehoist/net/etcd_client.py
+++ b/gradehoist/net/etcd_client.py
@@ -1,7 +1,7 @@
-"""Calls and watch streams of etcd's v3 interface over HTTP, with its errors sorted by what is known.
+"""Calls and watch streams of etcd's v3 API over HTTP.
 
-An error tells whether a call was carried out only as far as etcd or the network does: a write that was sent
-and has no answer may have been carried out.
+Errors are classified by whether the outcome of the call is known: a write that was sent and got no response
+may have been carried out.
 """
 
 from __future__ import annotations
@@ -25,47 +25,49 @@
 
 Response = TypeVar("Response")
 
-CONNECT_TIMEOUT_S = 1.0  # within the network of one site a connection takes milliseconds
-RESPONSE_TIMEOUT_S = 2.0  # etcd gives up a write of its own only after more than that
+CONNECT_TIMEOUT_S = 1.0  # connecting within the network of one site takes milliseconds
+RESPONSE_TIMEOUT_S = 2.0  # shorter than the time after which etcd itself abandons a write
 MAX_CONNECTIONS = 20
 _NO_TIMEOUT = 0
 HTTP_OK = 200
 _FIRST_SERVER_ERROR = 500
-_TORNADO_FAILURE = 599  # the status that Tornado gives a response that never came
+_TORNADO_FAILURE = 599  # the status that Tornado reports if there was no response
 _JSON_HEADERS = {"content-type": "application/json"}
 _DEFINITE_CODES = frozenset((NOT_FOUND, RESOURCE_EXHAUSTED, OUT_OF_RANGE))
 
 
 class EtcdClient:
-    """Calls to the etcd server at `base_url`."""
+    """A client for the etcd server at `base_url`."""
 
     def __init__(self, base_url: str) -> None:
-        """Opens no connection yet."""
+        """Creates a client; connections are opened on demand."""
         self.base_url = base_url
         self._http: AsyncHTTPClient = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAX_CONNECTIONS)
 
     async def call(
         self, path: str, request: msgspec.Struct, response_type: type[Response], is_write: bool = False
     ) -> Response:
-        """Returns the decoded answer.
+        """Sends a request and returns the decoded response.
 
         Raises:
-            EtcdError: etcd answered with an error; nothing was written.
-            StoreUnavailableError: There was no usable answer; nothing was written.
-            OutcomeUnknownError: There was no usable answer to a write that may have been carried out.
+            EtcdError: etcd responded with an error; nothing was written.
+            StoreUnavailableError: There was no valid response; nothing was written.
+            OutcomeUnknownError: There was no valid response to a write that may have been carried out.
         """
-        lost: type[CoordinationError] = OutcomeUnknownError if is_write else StoreUnavailableError
-        response = await self._fetch(path, msgspec.json.encode(request), lost)
+        outcome_error: type[CoordinationError] = OutcomeUnknownError if is_write else StoreUnavailableError
+        response = await self._fetch(path, msgspec.json.encode(request), outcome_error)
         try:
             document: dict[str, Any] = msgspec.json.decode(response.body, type=dict[str, msgspec.Raw])
             if response.code != HTTP_OK or "error" in document:
-                raise classify_error(msgspec.json.decode(response.body), response.code, lost)
+                raise classify_error(msgspec.json.decode(response.body), response.code, outcome_error)
             return msgspec.json.decode(response.body, type=response_type, strict=False)
         except msgspec.MsgspecError:
-            raise lost(f"{self.base_url}: status {response.code}, not an answer of etcd") from None
+            raise outcome_error(
+                f"{self.base_url}: invalid etcd response with status {response.code}"
+            ) from None
 
     def open_watch(self, request: WatchRequest) -> WatchStream:
-        """Opens a stream; the caller closes it."""
+        """Opens a watch stream; the caller has to close it."""
         http_request = HTTPRequest(
             self.base_url + "/v3/watch",
             "POST",
@@ -80,7 +82,7 @@
         """Closes all connections."""
         self._http.close()
 
-    async def _fetch(self, path: str, body: bytes, lost: type[CoordinationError]) -> HTTPResponse:
+    async def _fetch(self, path: str, body: bytes, outcome_error: type[CoordinationError]) -> HTTPResponse:
         request = HTTPRequest(
             self.base_url + path,
             "POST",
@@ -92,38 +94,38 @@
         try:
             response = await self._http.fetch(request, raise_error=False)
         except HTTPTimeoutError as error:
-            raise self._no_response(str(error), lost) from None
+            raise self._no_response(str(error), outcome_error) from None
         except HTTPStreamClosedError as error:
-            raise lost(f"{self.base_url}: {error}") from None
+            raise outcome_error(f"{self.base_url}: {error}") from None
         except ConnectionRefusedError as error:
             raise StoreUnavailableError(f"{self.base_url}: {error.strerror}") from None
         except OSError as error:
-            raise lost(f"{self.base_url}: {error}") from None
+            raise outcome_error(f"{self.base_url}: {error}") from None
         if response.code == _TORNADO_FAILURE:
-            raise self._no_response(str(response.error), lost)
+            raise self._no_response(str(response.error), outcome_error)
         return response
 
-    def _no_response(self, reason: str, lost: type[CoordinationError]) -> CoordinationError:
-        """The error for a call without a response: while still connecting, nothing was sent."""
-        error_type = StoreUnavailableError if "connecting" in reason else lost
+    def _no_response(self, reason: str, outcome_error: type[CoordinationError]) -> CoordinationError:
+        """Returns the error for a call without a response; if it was still connecting, nothing was sent."""
+        error_type = StoreUnavailableError if "connecting" in reason else outcome_error
         return error_type(f"{self.base_url}: {reason}")
 
 
 def classify_error(
-    document: dict[str, Any], status: int, lost: type[CoordinationError]
+    document: dict[str, Any], status: int, outcome_error: type[CoordinationError]
 ) -> EtcdError | CoordinationError:
-    """Returns the error of an error answer, or `lost` where etcd itself does not know the outcome.
+    """Returns the error of an error response, or `outcome_error` if etcd itself does not know the outcome.
 
-    That is so after a timeout within etcd or a change of its leader.
+    That is the case after a timeout within etcd or a leader change.
     """
     error = parse_error(document)
     if status >= _FIRST_SERVER_ERROR and error.code not in _DEFINITE_CODES:
-        return lost(error.message)
+        return outcome_error(error.message)
     return error
 
 
 class WatchStream:
-    """The response of a watch call, read line by line while it goes on."""
+    """The streamed response of a watch call, read line by line."""
 
     def __init__(self, http: AsyncHTTPClient, request: HTTPRequest, base_url: str) -> None:
         """Sends the request."""
@@ -138,7 +140,7 @@
         """Returns the next line.
 
         Raises:
-            TimeoutError: No line came within `timeout_s`.
+            TimeoutError: No line arrived within `timeout_s`.
             StoreUnavailableError: The stream has ended.
         """
         async with asyncio.timeout(timeout_s):
@@ -148,7 +150,7 @@
         return line
 
     def close(self) -> None:
-        """Ends the call."""
+        """Cancels the call."""
         self._response.cancel()
 
     def _on_data(self, data: bytes) -> None:
