--- a/gradehoist/net/etcd_messages.py
+++ b/gradehoist/net/etcd_messages.py
@@ -1,7 +1,7 @@
-"""Messages of etcd's v3 interface in JSON, as far as the coordination store uses them.
+"""The JSON messages of etcd's v3 API that the coordination store uses.
 
-Requests are encoded with the field names and in the order that the interface documents. 64-bit integers are
-strings in JSON, and byte strings are base 64.
+Requests are encoded with the field names and field order of the API documentation. In JSON, 64-bit integers
+are strings and byte strings are base64.
 """
 
 from __future__ import annotations
@@ -12,7 +12,8 @@
 
 import msgspec
 
-NOT_FOUND = 5  # status codes of gRPC
+# gRPC status codes
+NOT_FOUND = 5
 RESOURCE_EXHAUSTED = 8
 OUT_OF_RANGE = 11
 
@@ -20,24 +21,24 @@
 
 
 class EtcdError(Exception):
-    """An error that etcd itself answered; `code` is its status code of gRPC."""
+    """An error response of etcd; `code` is its gRPC status code."""
 
     def __init__(self, code: int, message: str) -> None:
-        """Takes the code and text of etcd's answer."""
+        """Takes the code and the text of the response."""
         super().__init__(message)
         self.code = code
         self.message = message
 
 
 class KeyRange(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A single key, or all keys from `key` up to `range_end`, which is not included."""
+    """A single key, or all keys from `key` up to but not including `range_end`."""
 
     key: bytes
     range_end: bytes | None = None
 
 
 class PutRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Writes a value that belongs to `lease`."""
+    """Writes a value and attaches it to `lease`."""
 
     key: bytes
     value: bytes
@@ -53,7 +54,7 @@
 
 
 class CompareRevision(msgspec.Struct, frozen=True, kw_only=True, rename="camel"):
-    """A condition of a transaction: the key was last changed at this revision, 0 for a missing key."""
+    """A condition of a transaction: the key was last modified at this revision (0 if it must not exist)."""
 
     key: bytes
     target: str = "MOD"
@@ -62,7 +63,7 @@
 
 
 class TransactionRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Runs `success` where all of `compare` hold, else `failure`."""
+    """Runs `success` if all conditions in `compare` hold, otherwise `failure`."""
 
     compare: list[CompareRevision]
     success: list[Operation]
@@ -82,7 +83,7 @@
 
 
 class WatchCreateRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Watches a range of keys from a revision on."""
+    """Watches a range of keys, starting at a revision."""
 
     key: bytes
     range_end: bytes
@@ -90,27 +91,27 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True):
-    """Opens a stream with one watch."""
+    """Opens a watch stream with one watch."""
 
     create_request: WatchCreateRequest
 
 
 class ResponseHeader(msgspec.Struct, frozen=True):
-    """Which cluster answered, and its revision at that time."""
+    """The cluster that responded and its revision at that time."""
 
     revision: int
     cluster_id: str | int = ""
 
 
 class WatchResponseHeader(msgspec.Struct, frozen=True):
-    """As `ResponseHeader`; some messages of a watch leave fields out."""
+    """Like `ResponseHeader`, but some watch messages omit fields."""
 
     revision: int | None = None
     cluster_id: str | int | None = None
 
 
 class KeyValue(msgspec.Struct, frozen=True):
-    """A key as it stands; `key` and `value` are base 64."""
+    """A stored key and its value, both in base64."""
 
     key: str
     mod_revision: int
@@ -119,14 +120,14 @@
 
 
 class RangeResponse(msgspec.Struct, frozen=True):
-    """The keys of a range."""
+    """The keys and values of a range."""
 
     header: ResponseHeader
     kvs: list[KeyValue] = []
 
 
 class OperationRange(msgspec.Struct, frozen=True):
-    """The keys that one operation of a transaction read."""
+    """The keys and values read by one operation of a transaction."""
 
     kvs: list[KeyValue] = []
 
@@ -138,7 +139,7 @@
 
 
 class TransactionResponse(msgspec.Struct, frozen=True):
-    """Whether the conditions held, and what the operations of that branch returned."""
+    """Whether the conditions held, and the results of the operations that were run."""
 
     header: ResponseHeader
     succeeded: bool = False
@@ -152,37 +153,37 @@
 
 
 class KeepAliveHeader(msgspec.Struct, frozen=True):
-    """The revision at the renewal, 0 where it is left out."""
+    """The revision at the renewal, 0 if omitted."""
 
     revision: int = 0
 
 
 class KeepAliveResult(msgspec.Struct, frozen=True):
-    """The lease's remaining time in seconds, 0 for one that has ended."""
+    """The lease's remaining time in seconds, 0 if the lease has ended."""
 
     ttl_s: int = msgspec.field(name="TTL", default=0)
     header: KeepAliveHeader = KeepAliveHeader()
 
 
 class KeepAliveResponse(msgspec.Struct, frozen=True):
-    """The answer to the renewal of a lease."""
+    """The response to a lease renewal."""
 
     result: KeepAliveResult = KeepAliveResult()
 
 
 class LeaseRevokeResponse(msgspec.Struct, frozen=True):
-    """The lease was revoked."""
+    """The response to a lease revocation."""
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One change of a key."""
+    """A change of one key."""
 
     kv: KeyValue
     type: str = "PUT"
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """A message of a watch: its creation, its end or events."""
+    """A watch message: the creation or cancellation of the watch, or events."""
 
     header: WatchResponseHeader = WatchResponseHeader()
     created: bool = False
@@ -193,13 +194,13 @@
 
 
 class WatchMessage(msgspec.Struct, frozen=True):
-    """One line of a watch's stream."""
+    """One line of a watch stream."""
 
     result: WatchResult | None = None
 
 
 def parse_error(document: dict[str, Any]) -> EtcdError:
-    """Returns the error of an answer: etcd puts its fields beside `error`, or below it in streams."""
+    """Returns the error of a response; its fields are beside `error`, or inside it in streams."""
     error = document.get("error", document)
     fields = error if isinstance(error, dict) else document
     code = fields.get("code", fields.get("grpc_code", 0)) or 0
@@ -207,7 +208,7 @@
 
 
 def decode_bytes(text: str) -> bytes | None:
-    """Returns the bytes of base 64, or None for text that is none."""
+    """Decodes base64; returns None if the text is invalid."""
     try:
         return b64decode(text)
     except (binascii.Error, ValueError):
