--- a/gradehoist/clock.py
+++ b/gradehoist/clock.py
@@ -1,4 +1,4 @@
-"""The clock that all times in microseconds are read from."""
+"""The clock of all times in microseconds."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def monotonic_us() -> int:
-    """Returns the machine's monotonic time in microseconds; all its processes read the same value."""
+    """Returns the machine's monotonic time in microseconds, which is the same for all its processes."""
     return time.monotonic_ns() // 1_000
--- a/gradehoist/migration/rollout.py
+++ b/gradehoist/migration/rollout.py
@@ -179,8 +179,7 @@
         """Returns the ready incarnations before a batch is updated.
 
         Without them, a replica still in its old incarnation was taken for one that is back, and the next was
-        taken down at the same time. If the endpoint list does not answer in time, the rollout halts
-        therefore.
+        taken down at the same time. Therefore, a rollout halts if the endpoint list does not answer in time.
         """
         end_s = time.monotonic() + self._return_timeout_s
         while True:
--- a/gradehoist/store/__init__.py
+++ b/gradehoist/store/__init__.py
@@ -1,1 +1,1 @@
-"""Storage on the local disk: the SQLite coordination store, atomic files, folder locks, log output."""
+"""Local storage: the SQLite coordination store, atomic file replacement, folder locks and log output."""
--- a/gradehoist/store/atomic_file.py
+++ b/gradehoist/store/atomic_file.py
@@ -1,4 +1,4 @@
-"""Atomic replacement of small files: after a crash a file holds its old content or the new, never a part."""
+"""Atomic replacement of small files: after a crash, a file holds either its old or its new content."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 def write_file(path: Path, data: bytes) -> None:
-    """Replaces the content of a file and waits until the disk has it.
+    """Replaces the content of a file and waits until it is on the disk.
 
-    Missing parent folders are created. The data is written beside the file and then renamed over it.
+    Missing parent folders are created. The data is written to a temporary file in the same folder, which is
+    then renamed.
 
     Raises:
         OSError: The file could not be replaced and keeps its old content.
@@ -27,10 +28,10 @@
 
 
 async def write_file_in_thread(path: Path, data: bytes) -> None:
-    """Does what `write_file` does without blocking the event loop, where a slow disk would delay drains.
+    """Does the same as `write_file` on another thread: on the event loop, a slow disk would delay drains.
 
-    The caller makes sure that a path has one write at a time. The process does not wait for the thread at
-    its end.
+    The caller must not write to the same path concurrently. The process may exit before the write is
+    complete.
 
     Raises:
         OSError: The file could not be replaced and keeps its old content.
@@ -39,7 +40,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """Waits until the disk has the folder's entries, and with them a rename."""
+    """Waits until changes of the folder's entries, such as a rename, are on the disk."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/gradehoist/store/log_writer.py
+++ b/gradehoist/store/log_writer.py
@@ -1,4 +1,4 @@
-"""Log output by a thread, so that no slow reader and no slow disk stops the process that logs."""
+"""Writes log output on a thread, so that a slow reader or disk does not block the process that logs."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 class LogWriter:
     """A file-like object that queues lines of text for a thread to write to a file descriptor.
 
-    A reader that does not read, a closed pipe or a full disk costs lines and nothing else: those lost are
-    counted, and one `log_lines_lost` event reports them as soon as a line can be written again. Written by
-    the event loop itself, such a line once stopped the loop, and once ended the task of its clock.
+    If the reader is stuck, the pipe is closed or the disk is full, lines are dropped and counted. One
+    `log_lines_lost` event reports their number as soon as a line can be written again. When lines were
+    written on the event loop itself, a stuck reader blocked the loop, and a failed write ended the task of
+    its clock.
     """
 
-    QUEUE_LIMIT_LINES = 10_000  # some minutes of a busy process, a few megabytes
-    CLOSE_TIMEOUT_S = 1.0  # enough for a reader that reads at all; the process must end in any case
+    QUEUE_LIMIT_LINES = 10_000  # some minutes of output of a busy process, a few megabytes
+    CLOSE_TIMEOUT_S = 1.0  # enough for any reader that is not stuck; the process has to end in any case
 
     def __init__(self, descriptor: int) -> None:
         """Starts the thread that writes to `descriptor`."""
@@ -27,7 +28,7 @@
         self._thread.start()
 
     def write(self, text: str) -> int:
-        """Queues a line, which is dropped and counted where the queue is full."""
+        """Queues a line; if the queue is full, the line is dropped and counted."""
         try:
             self._lines.put_nowait(text)
         except queue.Full:
@@ -35,10 +36,13 @@
         return len(text)
 
     def flush(self) -> None:
-        """Does nothing: the thread writes each line as it comes."""
+        """Does nothing, as the thread does not buffer lines."""
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Ends the thread after the lines queued so far; waits up to `timeout_s` for each of two steps."""
+        """Ends the thread after it has written the lines queued so far.
+
+        Waits up to `timeout_s` for space in the queue, and again up to `timeout_s` for the thread to end.
+        """
         try:
             self._lines.put(None, timeout=timeout_s)
         except queue.Full:
--- a/gradehoist/store/sqlite_connections.py
+++ b/gradehoist/store/sqlite_connections.py
@@ -1,8 +1,8 @@
 """SQLite connections of the coordination store: schemas, opening, transactions, translation of errors.
 
-A folder holds two databases in WAL mode. `register.db`, whose every commit is flushed to the disk, holds the
-records and the log of their changes; `sessions.db` holds the sessions, apart from the records because their
-renewals would wake every watcher.
+A folder holds two databases in WAL mode. `register.db` holds the records and the log of their changes; each
+of its commits is flushed to the disk. `sessions.db` holds the sessions in a separate file, because otherwise
+each renewal of a session would wake every watch of the records.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 Result = TypeVar("Result")
 
-LOCK_TIMEOUT_S = 1.0  # that a commit waits for those of other processes; each takes some milliseconds
-CLOSE_TIMEOUT_S = 1.0  # that closing waits for work under way: the disk may hang
-STORE_ID_DIGITS = 12  # hexadecimal digits that tell one store from another
-_PRIMARY_ERROR_CODE = 0xFF  # mask: SQLite's extended error codes have the primary one in their low byte
+LOCK_TIMEOUT_S = 1.0  # how long a commit waits for those of other processes, which take milliseconds each
+CLOSE_TIMEOUT_S = 1.0  # how long closing waits for running work, as the disk may hang
+STORE_ID_DIGITS = 12  # the number of hexadecimal digits of a store's id
+_PRIMARY_ERROR_MASK = 0xFF  # SQLite's extended error codes contain the primary code in their low byte
 
 META_SCHEMA = "CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value) WITHOUT ROWID;"
 RECORDS_SCHEMA = """
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Database:
-    """A database file of the folder; `synchronous` is SQLite's setting for how commits reach the disk."""
+    """A database file of the folder. `synchronous` is SQLite's setting for flushing commits to the disk."""
 
     file_name: str
     schema: str
@@ -55,7 +55,7 @@
 
 
 class _FileIdentity(NamedTuple):
-    """Tells a file from another that was put in its place under the same name."""
+    """Distinguishes a file from another one that replaced it under the same name."""
 
     device: int
     inode: int
@@ -67,33 +67,33 @@
 
 
 class FolderConnections:
-    """One thread's connections to the databases of a folder, opened when first used."""
+    """One thread's connections to the databases of a folder, each opened on first use."""
 
     def __init__(self, folder: Path) -> None:
-        """Opens nothing yet."""
+        """Creates the object without opening a file."""
         self.folder = folder
         self._open: dict[str, _OpenDatabase] = {}
 
     def connect(self, database: Database) -> sqlite3.Connection:
-        """Returns the connection to a database, which is created where it is missing.
+        """Returns the connection to a database, which is created if it is missing.
 
         Raises:
-            StoreUnavailableError: The file was replaced since the last call. The next call opens the new one:
-                what was read of the old file need not hold of the new.
+            StoreUnavailableError: The file was replaced since the last call, so that what was read from the
+                old file may not be true of the new one. The next call opens the new file.
             sqlite3.Error: SQLite could not open the file.
             OSError: The folder could not be created.
         """
         path = self.folder / database.file_name
-        known = self._open.get(database.file_name)
-        if known is None:
+        opened = self._open.get(database.file_name)
+        if opened is None:
             return self._open_database(database, path)
-        if known.identity == _file_identity(path):
-            return known.connection
+        if opened.identity == _file_identity(path):
+            return opened.connection
         self.close()
-        raise StoreUnavailableError(f"{path}: another folder was put in its place")
+        raise StoreUnavailableError(f"{path} was replaced by another file")
 
     def close(self) -> None:
-        """Closes all connections; they are opened again when used."""
+        """Closes all connections; the next use opens them again."""
         for database in self._open.values():
             with contextlib.suppress(sqlite3.Error):
                 database.connection.close()
@@ -110,7 +110,7 @@
             _create_tables(connection, database.schema)
         identity = _file_identity(path)
         if identity is None:
-            raise StoreUnavailableError(f"{path} went while it was opened")
+            raise StoreUnavailableError(f"{path} was removed while it was being opened")
         self._open[database.file_name] = _OpenDatabase(connection, identity)
         return connection
 
@@ -134,11 +134,12 @@
 
 @contextlib.contextmanager
 def transaction(connection: sqlite3.Connection) -> Iterator[None]:
-    """Commits what the block writes, or rolls all of it back.
+    """Commits the writes of the block, or rolls all of them back if the block raises.
 
     Raises:
-        OutcomeUnknownError: The commit itself failed, other than for a full disk or a lock that others hold.
-        sqlite3.Error: Nothing was written.
+        OutcomeUnknownError: The commit failed for a reason other than a full disk or another process's lock,
+            so that the writes may or may not be stored.
+        sqlite3.Error: The transaction failed and nothing was written.
     """
     connection.execute("BEGIN IMMEDIATE")
     try:
@@ -157,7 +158,7 @@
 
 @contextlib.contextmanager
 def read_transaction(connection: sqlite3.Connection) -> Iterator[None]:
-    """Lets all queries of the block see one state of the database."""
+    """Makes all queries of the block read the same state of the database."""
     connection.execute("BEGIN")
     try:
         yield
@@ -171,30 +172,30 @@
 
 
 def _primary_code(error: sqlite3.Error) -> int:
-    code: int = getattr(error, "sqlite_errorcode", 0)  # errors of the module itself have no code
-    return code & _PRIMARY_ERROR_CODE
+    code: int = getattr(error, "sqlite_errorcode", 0)  # errors raised by the Python module have no code
+    return code & _PRIMARY_ERROR_MASK
 
 
 class DatabaseThread:
-    """A thread with connections of its own to the databases of a folder."""
+    """A thread with its own connections to the databases of a folder."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        """Starts a thread called `name`; opens no file yet."""
+        """Starts a thread called `name` without opening a file."""
         self.connections = FolderConnections(folder)
         self._worker = WorkerThread(name)
 
     async def run(self, work: Callable[[], Result]) -> Result:
-        """Returns what `work` returns; it runs on the thread.
+        """Runs `work` on the thread and returns its result.
 
         Raises:
-            StoreFullError: The disk or the database is full: nothing was written.
-            StoreUnavailableError: SQLite or the file system failed: nothing was written. The connections are
-                opened again at the next call.
+            StoreFullError: The disk or the database is full; nothing was written.
+            StoreUnavailableError: SQLite or the file system failed; nothing was written. After an SQLite
+                error, the connections are opened again by the next call.
         """
         return await self._worker.run(lambda: self._translate_errors(work))
 
     async def close(self) -> None:
-        """Closes the connections and ends the thread, after the work under way if that ends soon."""
+        """Closes the connections and ends the thread; waits for running work for up to `CLOSE_TIMEOUT_S`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self._worker.run(self.connections.close)
@@ -207,7 +208,7 @@
         except sqlite3.Error as error:
             self.connections.close()
             if _primary_code(error) == sqlite3.SQLITE_FULL:
-                raise StoreFullError(f"{folder}: no room; free some of the disk") from None
+                raise StoreFullError(f"{folder}: no space left; free some disk space") from None
             raise StoreUnavailableError(f"{folder}: {error}") from None
         except OSError as error:
             raise StoreUnavailableError(f"{folder}: {error.strerror or error}") from None
--- a/gradehoist/store/sqlite_records.py
+++ b/gradehoist/store/sqlite_records.py
@@ -1,6 +1,6 @@
 """The records of the SQLite coordination store and the log of their changes.
 
-Blocking code for one thread, as are its connections.
+The code blocks, and each object is used by one thread only, as its connections are.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 )
 from gradehoist.store.sqlite_connections import RECORDS, FolderConnections, read_transaction, transaction
 
-CHANGE_LOG_TRIM = 1_000  # changes dropped at a time, so that most commits trim nothing
+CHANGE_LOG_TRIM = 1_000  # the number of changes dropped at a time, so that most commits do not trim the log
 _LAST_CHARACTER = "\U0010ffff"
 _RECORD_COLUMNS = "key, value, version, token, session"
 
 
 class DataVersion(NamedTuple):
-    """Differs from an earlier one where another connection has written in the meantime."""
+    """Changes whenever another connection has written to the database."""
 
     connection_id: int
     version: int
@@ -42,15 +42,15 @@
 
 
 class RecordTable:
-    """Reads and writes `register.db`; the log keeps the last `change_log_length` changes for watches."""
+    """Reads and writes `register.db`, whose log keeps the last `change_log_length` changes for watches."""
 
     def __init__(self, connections: FolderConnections, change_log_length: int) -> None:
-        """Uses the connections of the thread that calls it."""
+        """Uses the connections of the calling thread."""
         self._connections = connections
         self._change_log_length = change_log_length
 
     def connect(self) -> sqlite3.Connection:
-        """Returns the connection; raises as `FolderConnections.connect` does."""
+        """Returns the connection. Raises the same errors as `FolderConnections.connect`."""
         return self._connections.connect(RECORDS)
 
     def revision(self) -> int:
@@ -58,7 +58,10 @@
         return _read_meta(self.connect()).revision
 
     def data_version(self) -> DataVersion:
-        """Returns a value to compare with an earlier one; cheap while nothing is written."""
+        """Returns a value that shows, compared with an earlier one, whether the database has changed.
+
+        It is much cheaper than a query of the records.
+        """
         connection = self.connect()
         (version,) = connection.execute("PRAGMA data_version").fetchone()
         return DataVersion(id(connection), version)
@@ -76,7 +79,7 @@
         return StoreSnapshot(store_id=meta.store_id, revision=meta.revision, records=records)
 
     def commit(self, changes: tuple[Change, ...], commit_id: str) -> Committed | CommitRejected:
-        """Writes all changes, or none where a record has another version than its change expects."""
+        """Writes all changes, or none if a record does not have the version that its change expects."""
         connection = self.connect()
         with transaction(connection):
             revision = _read_meta(connection).revision
@@ -104,7 +107,7 @@
         return {session_id for (session_id,) in rows}
 
     def changes_after(self, prefix: str, after_revision: int) -> WatchBatch | None:
-        """Returns the changes since a revision, or None where the store has not changed.
+        """Returns the changes since a revision, or None if the store has not changed.
 
         Raises:
             HistoryCompactedError: The log no longer holds all of them.
@@ -113,7 +116,9 @@
         with read_transaction(connection):
             meta = _read_meta(connection)
             if meta.compacted_revision > after_revision:
-                raise HistoryCompactedError(f"changes up to {meta.compacted_revision} are not kept")
+                raise HistoryCompactedError(
+                    f"changes up to revision {meta.compacted_revision} have been compacted"
+                )
             if meta.revision == after_revision:
                 return None
             rows = connection.execute(
@@ -126,7 +131,7 @@
         )
 
     def empty_batch(self, after_revision: int) -> WatchBatch:
-        """Returns the result of a watch in whose time nothing changed."""
+        """Returns the result of a watch that timed out without a change."""
         meta = _read_meta(self.connect())
         return WatchBatch(
             store_id=meta.store_id, after_revision=after_revision, revision=after_revision, events=()
@@ -191,7 +196,10 @@
 
 
 def _record_from_row(key: Any, value: Any, version: Any, commit_id: Any, session_id: Any) -> Record:
-    """A record from values of any type, as a damaged file may hold them; invalid ones make it `malformed`."""
+    """Returns a record from values that may have any type if the file is damaged.
+
+    Invalid values are replaced by empty ones, and the record is marked as `malformed`.
+    """
     is_valid = isinstance(value, bytes) and isinstance(commit_id, str) and isinstance(session_id, str)
     return Record(
         key=str(key),
--- a/gradehoist/store/sqlite_store.py
+++ b/gradehoist/store/sqlite_store.py
@@ -1,7 +1,7 @@
-"""The coordination store of one machine: SQLite files in a folder, without a server process.
+"""The coordination store of a single machine: SQLite files in a folder, without a server process.
 
-All processes of the machine open the folder themselves. To put an older state back, rename its folder into
-place while nothing is copied: a file that is copied over a database in use is corrupt.
+All processes of the machine open the files directly. To restore an older state, rename a complete copy of the
+folder into place: copying a file over a database in use corrupts it.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 
 Result = TypeVar("Result")
 
-WATCH_POLL_S = 0.05  # between a watch's checks: at that rate 230 idle processes cost 1.8 cores in all
-CHANGE_LOG_LENGTH = 20_000  # changes kept for watches: minutes of a busy fleet, a few megabytes
+WATCH_POLL_S = 0.05  # the interval of a watch's checks, at which 230 idle processes use 1.8 cores together
+CHANGE_LOG_LENGTH = 20_000  # the changes kept for watches: minutes of a busy fleet, a few megabytes
 
 
 class SqliteStore:
-    """A `CoordinationStore` in `folder`, which is created where it is missing.
+    """A `CoordinationStore` in `folder`, which is created if it is missing.
 
-    Its methods raise the errors that `gradehoist.coordination.store` names. One thread serves the watch,
-    which waits, and another all other calls.
+    Its methods raise the errors that `gradehoist.coordination.store` defines. Watches, which wait for
+    changes, run on one thread, and all other calls on another.
     """
 
     def __init__(self, folder: Path, change_log_length: int = CHANGE_LOG_LENGTH) -> None:
@@ -54,7 +54,7 @@
         return await self._run(self._calls, lambda: self._records.read(prefix))
 
     async def commit(self, changes: tuple[Change, ...], commit_id: str) -> Committed | CommitRejected:
-        """Writes all changes, or none where one expects another version than its record has."""
+        """Writes all changes, or none if a record does not have the version that its change expects."""
         check_sizes(changes)
         return await self._run(self._calls, lambda: self._commit(changes, commit_id))
 
@@ -71,21 +71,21 @@
         await self._run(self._calls, lambda: self._sessions.end(session_id))
 
     async def watch(self, prefix: str, after_revision: int, wait_us: int) -> WatchBatch:
-        """Returns the changes below `prefix` since a revision; waits up to `wait_us` for the first one."""
+        """Returns the changes below `prefix` since a revision; waits up to `wait_us` for the first."""
         deadline_us = monotonic_us() + wait_us
         return await self._run(
             self._watch, lambda: self._wait_for_changes(prefix, after_revision, deadline_us)
         )
 
     async def close(self) -> None:
-        """Ends a watch under way, closes the files and ends the threads; later calls fail."""
+        """Ends a running watch, closes the files and ends the threads; later calls fail."""
         self._closed.set()
         await self._calls.close()
         await self._watch.close()
 
     async def _run(self, thread: DatabaseThread, work: Callable[[], Result]) -> Result:
         if self._closed.is_set():
-            raise StoreUnavailableError("closed")
+            raise StoreUnavailableError("the store is closed")
         return await thread.run(work)
 
     def _commit(self, changes: tuple[Change, ...], commit_id: str) -> Committed | CommitRejected:
--- a/gradehoist/store/worker_thread.py
+++ b/gradehoist/store/worker_thread.py
@@ -1,6 +1,6 @@
-"""Blocking work on threads, with results that are awaited on the event loop.
+"""Runs blocking work on threads; its result is awaited on the event loop.
 
-All threads are daemons: a disk may hang, and the process must be able to end without waiting for it.
+All threads are daemon threads, so that the process can end without waiting for a disk that hangs.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         """Runs the work on the calling thread."""
         try:
             result = self._work()
-        except BaseException as error:  # noqa: BLE001 - raised again where the future is awaited
+        except BaseException as error:  # noqa: BLE001 - raised again when the future is awaited
             self._report(self._set_exception, error)
         else:
             self._report(self._set_result, result)
@@ -46,7 +46,7 @@
 
 
 class WorkerThread:
-    """A daemon thread that runs one job after the other, in the order of the calls."""
+    """A daemon thread that runs jobs one after the other, in the order of the calls."""
 
     def __init__(self, name: str) -> None:
         """Starts the thread."""
@@ -54,13 +54,13 @@
         threading.Thread(target=self._run_jobs, name=name, daemon=True).start()
 
     async def run(self, work: Callable[[], Result]) -> Result:
-        """Returns what `work` returns, or raises what it raises."""
+        """Runs `work` on the thread; returns its result or raises its exception."""
         job = _Job(work)
         self._jobs.put(job)
         return await job.future
 
     def stop(self) -> None:
-        """Ends the thread after the jobs that are queued already."""
+        """Ends the thread after the jobs that are already queued."""
         self._jobs.put(None)
 
     def _run_jobs(self) -> None:
@@ -69,7 +69,7 @@
 
 
 async def run_in_daemon_thread(work: Callable[[], Result]) -> Result:
-    """Runs `work` on a thread of its own; returns what it returns, or raises what it raises."""
+    """Runs `work` on a new thread; returns its result or raises its exception."""
     job = _Job(work)
     threading.Thread(target=job.run, daemon=True).start()
     return await job.future
