--- a/gradehoist/settings/fleet_parser.py
+++ b/gradehoist/settings/fleet_parser.py
@@ -199,7 +199,7 @@
         return None
     if ("folder" in node.props) == ("engine" in node.props):
         node.add_error(
-            "expected where the register is",
+            "expected the location of the coordination store",
             'give folder="var/register" for one machine, or '
             'engine="127.0.0.1:2379" for many; one of the two',
         )
--- a/tests/test_fleet_governors.py
+++ b/tests/test_fleet_governors.py
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize(
     ("node", "said"),
     [
-        ("coordination", "> coordination: expected where the register is; give folder="),
+        ("coordination", "> coordination: expected the location of the coordination store; give folder="),
         ('coordination folder="a" engine="127.0.0.1:2379"', "one of the two"),
         ('coordination engine="engine:2379"', 'expected an address such as "127.0.0.1:7101"'),
         ('coordination folder="a" session="10ms"', 'expected a time of "1s" or more'),
