--- a/gradehoist/settings/__init__.py
+++ b/gradehoist/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings in KDL 1, checked whole before anything starts; frozen records come out."""
+"""Reads settings files in KDL 1 into immutable records, and checks them completely before anything starts."""
--- a/gradehoist/settings/fleet.py
+++ b/gradehoist/settings/fleet.py
@@ -1,4 +1,4 @@
-"""The records of a fleet's settings; `gradehoist.settings.fleet_parser` reads them."""
+"""Data types of the settings of a fleet; `gradehoist.settings.fleet_parser` reads them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSettings:
-    """A class of requests, with the names of zones and kinds."""
+    """The settings of a request class, which refer to zones and kinds by name."""
 
     name: str
     latency_objective_us: int
@@ -42,11 +42,20 @@
 
 
 class CellPlacement(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A placement file, as `gradehoist cells place` writes it: cells, and the cells of replicas and tenants.
+    """The placement of replicas and tenants in cells.
 
-    `cell_by_range` has the cell of each even range of the hash, where that differs from `cells`: a split
-    leaves the ranges as they were. The lease of replicas, the time after which a write and its retries are
-    settled, and the limits at each proxy come from the settings.
+    `gradehoist cells place` writes it to a file, but for `lease_us`, `settle_us` and `limits`, which come
+    from the settings.
+
+    Attributes:
+        cells: The names of the cells.
+        cell_by_replica: The cell of each replica.
+        cell_by_tenant: The cell of each tenant that does not live in the cell that its hash selects.
+        cell_by_range: The cell of each equal range of the hash. It is empty if that is `cells`; it differs
+            after a split, which leaves the ranges as they were.
+        lease_us: How long a replica accepts writes after a heartbeat of a governor.
+        settle_us: The time after which a write has either completed or failed and is no longer retried.
+        limits: The rate limits at each proxy.
     """
 
     cells: tuple[str, ...]
@@ -63,20 +72,23 @@
 
     def replicas_of(self, cell: str) -> frozenset[str]:
         """Returns the replicas of a cell."""
-        return frozenset(replica for replica, own in self.cell_by_replica.items() if own == cell)
+        return frozenset(replica for replica, own_cell in self.cell_by_replica.items() if own_cell == cell)
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinationSettings:
-    """The coordination store of the fleet's processes: a folder of this machine, or etcd.
+    """The settings of the coordination store that the fleet's processes share.
 
     Attributes:
-        session_ttl_us: How long other processes wait for one that does not renew its session.
-        lost_after_us: How long contacts with a member fail before it counts as lost.
+        folder: The folder of a store on this machine; None if the store is etcd.
+        etcd_address: The address of etcd; None if the store is a folder.
+        key_prefix: The prefix of all keys in etcd.
+        session_ttl_us: How long a session lasts without a renewal.
+        lost_after_us: How long contacts with a member have to fail before the member is regarded as lost.
         contact_interval_us: The time between two contacts with a member.
-        fallback_hold_us: How long agreed limits hold without the store.
-        fallback_ramp_us: How long it takes to leave them after that.
-        zones: Whether zones are evacuated together, and its timing.
+        fallback_hold_us: How long agreed limits remain in force while the store is unavailable.
+        fallback_ramp_us: How long the transition to local limits takes after that.
+        zones: The timing of coordinated zone evacuation, or None if zones are not evacuated.
     """
 
     folder: Path | None
@@ -92,14 +104,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What all governors of a fleet know of it.
+    """The settings that all governors of a fleet share.
 
     Attributes:
-        proxy_count: The proxies of all governors together.
-        report_lines_per_s: The rate at which the policy gets lines of load reports.
-        endpoint_list_address: The service that has the endpoint list.
-        poll_hold_us: How long a poll without messages is held.
-        silence_limit_us: How long a proxy may go without a poll before its stream ends.
+        proxy_count: The number of proxies of all governors together.
+        report_lines_per_s: The rate at which lines of load reports are passed to the policy.
+        endpoint_list_address: The address of the service that provides the endpoint list.
+        poll_hold_us: How long the response to a poll is delayed while there are no messages.
+        silence_limit_us: The time without a poll after which a proxy's stream ends.
+        max_health_checks: The number of health checks that may run at the same time.
     """
 
     zones: tuple[str, ...]
@@ -122,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GovernorSettings:
-    """What one governor knows of itself."""
+    """The settings of one governor."""
 
     name: str
     zone: str
@@ -133,13 +146,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """A settings file: the fleet and its governors."""
+    """The content of a settings file: the fleet and its governors."""
 
     fleet: FleetSettings
     governors: tuple[GovernorSettings, ...]
 
     def governor(self, name: str) -> GovernorSettings:
-        """Returns a governor by its name. Raises KeyError if the settings have none of that name."""
+        """Returns a governor by its name. Raises KeyError if there is none of that name."""
         for governor in self.governors:
             if governor.name == name:
                 return governor
@@ -150,7 +163,7 @@
 def policy_config(
     fleet: FleetSettings, names: Identifiers, seed: int, channel: ChannelLimits
 ) -> PolicyConfig:
-    """Returns the configuration of a policy, with indices in place of names."""
+    """Returns the configuration of a policy, in which indices replace names."""
     classes = tuple(_policy_class(settings, names) for settings in fleet.classes)
     return PolicyConfig(
         seed=seed,
--- a/gradehoist/settings/fleet_parser.py
+++ b/gradehoist/settings/fleet_parser.py
@@ -1,6 +1,7 @@
 """Reads the settings of a fleet and its governors: the nodes `fleet` and `governor`.
 
-Errors are gathered in the order in which the nodes are read; `read_settings` raises them all.
+Errors are collected in the order in which the nodes are read, and `read_settings` raises all of them
+together.
 """
 
 from __future__ import annotations
@@ -13,9 +14,7 @@
 
 import msgspec
 
-from gradehoist.interface import (
-    Idempotency,
-)
+from gradehoist.interface import Idempotency
 from gradehoist.settings.fleet import (
     DEFAULT_LEASE_US,
     DEFAULT_SETTLE_US,
@@ -60,7 +59,7 @@
 
 
 def read_settings(path: str | Path) -> Settings:
-    """Reads a settings file. Raises SettingsError with every error found."""
+    """Reads a settings file. Raises SettingsError with all errors of the file."""
     reader, root = load_document(path)
     settings = parse_settings(root, Path(path).parent)
     root.reject_unread()
@@ -69,10 +68,10 @@
 
 
 def parse_settings(root: Node, folder: Path, addresses_required: bool = True) -> Settings:
-    """Reads the nodes `fleet` and `governor`; errors are gathered in the reader of `root`.
+    """Reads the nodes `fleet` and `governor`; errors are collected in the reader of `root`.
 
-    The caller reports nodes of other names that nobody reads. Relative paths begin at `folder`. Addresses may
-    be left out unless they are required: those of a scenario are chosen when it is run.
+    The caller reports other, unknown nodes of the root. Relative paths start at `folder`. Addresses may be
+    omitted unless they are required; those of a scenario are chosen when it is run.
     """
     node = root.require_child("fleet")
     fleet = _parse_fleet(node, folder, addresses_required)
@@ -125,7 +124,7 @@
 
 
 def _get_or(section: Node | None, key: str, parse: Callable[[Any], Value], default: Value) -> Value:
-    """Returns a property, or `default` where it or its whole section is left out."""
+    """Returns a property, or `default` if the property or its whole section is missing."""
     return default if section is None else section.get(key, parse, default)
 
 
@@ -143,14 +142,15 @@
 def _check_queue_limit(channel: Node, fleet: FleetSettings) -> None:
     """Checks that a withdrawal fits into the queue beside other messages.
 
-    With all proxies on one governor it is a message of overhead, line and revision to each of them. With a
-    queue of half that, no drain was ever sent.
+    If all proxies are connected to one governor, a withdrawal is one message to each of them, which consists
+    of its overhead, a line and a revision. The queue has to hold twice as much: with half the required limit,
+    no drain was ever sent.
     """
-    needed = 2 * (fleet.proxy_count or 0) * ((fleet.channel.message_overhead_lines or 0) + 2)
-    if fleet.channel.queue_limit_lines and fleet.channel.queue_limit_lines < needed:
+    required_lines = 2 * (fleet.proxy_count or 0) * ((fleet.channel.message_overhead_lines or 0) + 2)
+    if fleet.channel.queue_limit_lines and fleet.channel.queue_limit_lines < required_lines:
         channel.add_error(
-            f"{fleet.proxy_count} relays need {needed:g} lines for a drain beside other messages",
-            f"set queue-limit={needed:g} or more, or have fewer relays",
+            f"a drain with {fleet.proxy_count} relays needs {required_lines:g} lines beside other messages",
+            f"set queue-limit={required_lines:g} or more, or have fewer relays",
             "queue-limit",
         )
 
@@ -161,7 +161,9 @@
     nodes = fleet.children_named("class")
     classes = tuple(_parse_class(node, zones, kinds) for node in nodes)
     if not classes:
-        fleet.add_error("no class", 'add a node such as class "read" goal="1s" cutoff="2s"', "class")
+        fleet.add_error(
+            "expected at least one class", 'add a node such as class "read" goal="1s" cutoff="2s"', "class"
+        )
     names = [settings.name for settings in classes]
     for node in nodes:
         if node.args and names.count(node.args[0]) > 1:
@@ -223,7 +225,7 @@
 
 
 def _parse_placement(fleet: Node, folder: Path) -> CellPlacement | None:
-    """Reads the placement file that the node `cells` names, and what the node itself sets."""
+    """Reads the node `cells` and the placement file that it names."""
     node = fleet.child("cells")
     if node is None:
         return None
@@ -241,18 +243,18 @@
     except (OSError, msgspec.MsgspecError) as error:
         reason = getattr(error, "strerror", None) or str(error)
         node.add_error(
-            f"{path} is no placement: {reason}", "make one with gradehoist cells place", "placement"
+            f"{path} is not a placement: {reason}", "create one with gradehoist cells place", "placement"
         )
         return None
     inconsistency = _describe_inconsistency(placement)
     if inconsistency:
-        node.add_error(f"{path} {inconsistency}", "make it anew with gradehoist cells place", "placement")
+        node.add_error(f"{path} {inconsistency}", "create it again with gradehoist cells place", "placement")
         return None
     return msgspec.structs.replace(placement, lease_us=lease_us, settle_us=settle_us, limits=limits)
 
 
 def _describe_inconsistency(placement: CellPlacement) -> str:
-    """Returns what is wrong with a placement, or "" for a consistent one."""
+    """Returns what is wrong with a placement, or "" if it is consistent."""
     used = (
         *placement.cell_by_replica.values(),
         *placement.cell_by_tenant.values(),
@@ -260,12 +262,12 @@
     )
     unlisted = {cell for cell in used if cell not in placement.cells}
     if unlisted:
-        return f"names cells it does not list: {', '.join(sorted(unlisted))}"
+        return f"uses cells that it does not list: {', '.join(sorted(unlisted))}"
     empty = [cell for cell in placement.cells if cell not in placement.cell_by_replica.values()]
     if empty:
         return f"has cells without workers: {', '.join(empty)}"
     if not placement.cells or len(set(placement.cells)) < len(placement.cells):
-        return "lists no cell, or one twice"
+        return "lists no cell, or lists a cell twice"
     return ""
 
 
@@ -275,7 +277,11 @@
     nodes = root.children_named("governor")
     governors = tuple(_parse_governor(node, zones, folder, addresses_required) for node in nodes)
     if not governors:
-        root.add_error("no governor", 'add a node such as governor "a" listen="127.0.0.1:7101"', "governor")
+        root.add_error(
+            "expected at least one governor",
+            'add a node such as governor "a" listen="127.0.0.1:7101"',
+            "governor",
+        )
     names = [governor.name for governor in governors]
     for node in nodes:
         if names.count(node.args[0] if node.args else "") > 1:
--- a/gradehoist/settings/fleet_sections.py
+++ b/gradehoist/settings/fleet_sections.py
@@ -1,4 +1,4 @@
-"""Sections of the settings that are read straight into records of other packages."""
+"""Reads sections of the settings directly into the records of other packages."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def parse_load_reporting(node: Node, health_checks_allowed: bool) -> LoadReporting:
-    """Reads the node `reports`, but for the rate that the governor itself takes reports at."""
+    """Reads the node `reports`, except for the property `intake`."""
     return LoadReporting(
         period_us=node.get("period", duration_parser("10ms")),
         has_busy_share=node.get("busy", parse_boolean, True),
@@ -53,7 +53,7 @@
 
 
 def parse_evacuation_timing(node: Node) -> EvacuationTiming:
-    """Reads the node `zones` of the coordination."""
+    """Reads the node `zones` of the node `coordination`."""
     return EvacuationTiming(
         settle_us=node.get("settle", duration_parser("1s"), 5 * _US_PER_S),
         min_healthy_us=node.get("well", duration_parser("1s"), 20 * _US_PER_S),
@@ -62,7 +62,7 @@
 
 
 def parse_rate_limits(node: Node) -> RateLimits:
-    """Reads the node `limits` of the cells."""
+    """Reads the node `limits` of the node `cells`."""
     return RateLimits(
         cell_rate_per_s=node.get("cell", number_parser(0.001, 1e9)),
         tenant_rate_per_s=node.get("tenant", number_parser(0.001, 1e9)),
--- a/gradehoist/settings/platform.py
+++ b/gradehoist/settings/platform.py
@@ -1,4 +1,4 @@
-"""Reads the operators' settings object, which the simulator's wire and the platform's configuration share."""
+"""Reads the platform's settings object, which the simulator and the platform's configuration share."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     SafetyLimits,
 )
 
-# Fields of load reports by their names in the settings, and by those in the operators' pages.
+# The fields of load reports by their names in the settings and by those in the platform's documentation.
 FIELD_BY_METRIC = {
     "utilization": "busy_share",
     "outstanding": "in_flight",
@@ -33,23 +33,23 @@
 
 
 def seconds_to_us(seconds: Any) -> int:
-    """Returns whole microseconds. Raises ValueError or TypeError for what is no number."""
+    """Converts to whole microseconds. Raises ValueError or TypeError if `seconds` is not a number."""
     return round(float(seconds) * 1_000_000)
 
 
 def report_columns(settings: Mapping[str, Any]) -> list[str]:
-    """Returns the names of the values that load reports in responses carry, in their order."""
+    """Returns the names of the values in the load reports of responses, in their order."""
     listed = settings.get("report", {})
     return list(listed.get("fields", [])) if listed.get("how", "inline") != "off" else []
 
 
 def parse_load_report(figures: Iterable[tuple[str, float | None]]) -> LoadReport:
-    """Returns a load report; unknown names are ignored."""
+    """Returns a load report of the named figures; unknown names are ignored."""
     return LoadReport(**{FIELD_BY_METRIC[name]: value for name, value in figures if name in FIELD_BY_METRIC})
 
 
 def parse_identifiers(settings: Mapping[str, Any]) -> Identifiers:
-    """Returns the identifiers of zones, kinds and classes. Raises KeyError if it has no classes."""
+    """Returns the identifiers of zones, kinds and classes. Raises KeyError if there are no classes."""
     return Identifiers(
         settings.get("azs", []), settings.get("kinds", []), [c["name"] for c in settings["classes"]]
     )
@@ -59,10 +59,11 @@
     """Returns the policy's configuration.
 
     Raises:
-        ValueError, KeyError, TypeError, AttributeError: The object is not as the operators document it.
+        ValueError, KeyError, TypeError, AttributeError: The object does not have the documented form.
     """
     specifics = settings.get("specifics", {})
-    classes = _parse_classes(settings, identifiers)  # first: it may intern zones, which are counted below
+    # The classes are parsed first because this may intern zones, which are counted below.
+    classes = _parse_classes(settings, identifiers)
     return PolicyConfig(
         seed=seed,
         zone_count=len(identifiers.zones),
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize(
     ("content", "problem"),
     [
-        (b"", "is no placement"),
+        (b"", "is not a placement"),
         (b'{"cells":["a"],"workers":{"w":"b"}}', "does not list: b"),
         (b'{"cells":["a","b"],"workers":{"w":"b"}}', "cells without workers: a"),
     ],
