--- a/tests/support/migration_model.py
+++ b/tests/support/migration_model.py
@@ -1,7 +1,7 @@
-"""A model of the migration protocol: messages, losses, crashes, undos and passing time.
+"""A model of the migration protocol for model checking: messages, losses, crashes, undos and passing time.
 
-Every rule of the protocol is the shipped code's; the model only carries messages and lets processes crash. A
-message that is never delivered is lost, and one that is sent again is the same.
+All rules of the protocol come from the production code; the model only delivers messages and crashes
+processes. A message that is never delivered is lost. A message that is sent twice is in the network once.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 from gradehoist.cells.migration import Migration, MigrationStep
 
 TENANT = "inn"
-LEASE = 10  # ticks
-WAIT = 25  # ticks; it covers lease, settle time and the clients' retries
+LEASE_TICKS = 10
+FENCING_WAIT_TICKS = 25  # covers the lease, the settle time and the clients' retries
 SOURCE, TARGET = "A", "B"
 
 GOVERNORS: tuple[str, ...] = ("g1",)
@@ -41,15 +41,15 @@
     generation: int
 
 
-class Notify(NamedTuple):
-    """The runner notifies a governor or replica."""
+class Notification(NamedTuple):
+    """The runner notifies a governor or replica of an assignment."""
 
     recipient: str
     assignment: TenantAssignment
 
 
-class Answer(NamedTuple):
-    """The runner is answered."""
+class Acknowledgement(NamedTuple):
+    """A governor or replica acknowledges an assignment to the runner."""
 
     ack: AssignmentAck
 
@@ -69,11 +69,11 @@
     key: str
 
 
-Message = Notify | Answer | Heartbeat | Write
+Message = Notification | Acknowledgement | Heartbeat | Write
 
 
-class Weakness(Enum):
-    """A protocol that lacks one of its rules; the search has to find each."""
+class Mutation(Enum):
+    """A rule that is removed from the protocol; the search has to find a violation without it."""
 
     NONE = "none"
     NO_WAIT = "no wait"
@@ -84,7 +84,7 @@
 
 
 class Bounds(NamedTuple):
-    """How often each of these may happen."""
+    """How often each of these events has occurred, or may occur."""
 
     writes: int = 0
     crashes: int = 0
@@ -93,15 +93,22 @@
 
 
 @dataclass(frozen=True)
-class World:
+class ModelState:
     """The state of all processes and of the network.
 
     Attributes:
-        migration: The runner's record in memory; None while it is dead or before the order.
-        persisted: The record as persisted.
-        accepted: Cell and generation of each accepted write, in their true order.
-        effects: Keys that took effect.
-        retried_key: The first key sent since time passed: no client retries an older one.
+        fences: The fence of each replica.
+        directories: The directory of each governor.
+        routes: The route of each proxy; None while no cell is open.
+        migration: The runner's record in memory; None while the runner is down or before the migration
+            exists.
+        persisted: The persisted record of the migration.
+        network: The messages sent and not delivered yet.
+        now: The current time in ticks.
+        accepted: The route of each accepted write, in the order of acceptance.
+        effects: The keys of the writes that took effect.
+        event_counts: How often each kind of bounded event has occurred.
+        retried_key: The first key sent since time last passed; clients do not retry older keys.
     """
 
     fences: Mapping[str, ReplicaFence]
@@ -113,11 +120,11 @@
     now: int = 0
     accepted: tuple[Route, ...] = ()
     effects: tuple[str, ...] = ()
-    happened: Bounds = Bounds()
+    event_counts: Bounds = Bounds()
     retried_key: str = ""
 
-    def key(self) -> Hashable:
-        """Equal for worlds from which the same may happen."""
+    def search_key(self) -> Hashable:
+        """Returns a key that is equal for states with the same possible futures."""
         return (
             tuple(self._fence_key(fence) for fence in self.fences.values()),
             tuple(directory.assignments.get(TENANT) for directory in self.directories.values()),
@@ -127,7 +134,7 @@
             frozenset(self.network),
             self.accepted[-1:],
             self.effects,
-            self.happened,
+            self.event_counts,
             self.retried_key,
         )
 
@@ -140,42 +147,48 @@
         )
 
     def _migration_key(self) -> Hashable:
-        m = self.migration
-        if m is None:
+        migration = self.migration
+        if migration is None:
             return None
-        since = m.governors_confirmed_us
+        since = migration.governors_confirmed_us
         waited = self.now - since if since >= 0 else max(-1, since - self.now)
         return (
-            m.id,
-            m.step,
-            m.confirmed_governors,
-            m.confirmed_replicas,
-            m.completed_keys,
+            migration.id,
+            migration.step,
+            migration.confirmed_governors,
+            migration.confirmed_replicas,
+            migration.completed_keys,
             waited,
-            m.must_close_source,
+            migration.must_close_source,
         )
 
     def _persisted_key(self) -> Hashable:
-        m = self.persisted
-        return m and (m.id, m.step, m.confirmed_governors, m.confirmed_replicas, m.completed_keys)
+        record = self.persisted
+        return record and (
+            record.id,
+            record.step,
+            record.confirmed_governors,
+            record.confirmed_replicas,
+            record.completed_keys,
+        )
 
 
-class Option(NamedTuple):
-    """What may happen next: its kind, a text for people, and the world after it."""
+class Transition(NamedTuple):
+    """A possible next event: its kind, its description in failed tests, and the state after it."""
 
     kind: str
-    text: str
-    world: World
+    description: str
+    state: ModelState
 
 
-def initial_world(
+def initial_state(
     governors: tuple[str, ...] = GOVERNORS,
     replicas_by_cell: Mapping[str, tuple[str, ...]] = REPLICAS_BY_CELL,
     proxy_count: int = 2,
-) -> World:
-    return World(
+) -> ModelState:
+    return ModelState(
         fences={
-            name: ReplicaFence(name, cell, lease_until_us=LEASE)
+            name: ReplicaFence(name, cell, lease_until_us=LEASE_TICKS)
             for cell, names in replicas_by_cell.items()
             for name in names
         },
@@ -188,242 +201,252 @@
     return Migration(id="m", tenant=TENANT, source=SOURCE, target=TARGET, generation=2)
 
 
-def send(world: World, *messages: Message) -> World:
-    new = tuple(message for message in messages if message not in world.network)
-    return replace(world, network=world.network + new)
+def send(state: ModelState, *messages: Message) -> ModelState:
+    new = tuple(message for message in messages if message not in state.network)
+    return replace(state, network=state.network + new)
 
 
-def persist(world: World, migration: Migration) -> World:
-    return replace(world, migration=migration, persisted=migration)
+def persist(state: ModelState, migration: Migration) -> ModelState:
+    return replace(state, migration=migration, persisted=migration)
 
 
-def with_fence(world: World, fence: ReplicaFence) -> World:
-    return replace(world, fences={**world.fences, fence.name: fence})
+def with_fence(state: ModelState, fence: ReplicaFence) -> ModelState:
+    return replace(state, fences={**state.fences, fence.name: fence})
 
 
 class Model:
-    """What may happen in a world, within bounds."""
+    """The transitions that are possible in a state, within bounds."""
 
     def __init__(
         self,
         bounds: Bounds,
         governors: tuple[str, ...] = GOVERNORS,
         replicas_by_cell: Mapping[str, tuple[str, ...]] = REPLICAS_BY_CELL,
-        weakness: Weakness = Weakness.NONE,
+        mutation: Mutation = Mutation.NONE,
     ) -> None:
         self.bounds = bounds
         self.governors = governors
         self.replicas_by_cell = replicas_by_cell
-        self.weakness = weakness
+        self.mutation = mutation
 
-    def options(self, world: World) -> Iterator[Option]:
-        yield from self._runner_options(world)
-        for message in world.network:
+    def transitions(self, state: ModelState) -> Iterator[Transition]:
+        yield from self._runner_transitions(state)
+        for message in state.network:
             kind = f"deliver {type(message).__name__}"
-            yield Option(kind, f"delivered {message}", self.deliver(world, message))
-        yield from self._governor_options(world)
-        yield from self._proxy_options(world)
-        yield from self._replica_options(world)
-        yield from self._time_options(world)
-
-    def _runner_options(self, world: World) -> Iterator[Option]:
-        migration = world.migration
-        if migration is None and world.persisted is None:
-            yield Option("create", "create the migration", persist(world, first_migration()))
+            yield Transition(kind, f"delivered {message}", self.deliver(state, message))
+        yield from self._governor_transitions(state)
+        yield from self._proxy_transitions(state)
+        yield from self._replica_transitions(state)
+        yield from self._time_transitions(state)
+
+    def _runner_transitions(self, state: ModelState) -> Iterator[Transition]:
+        migration = state.migration
+        if migration is None and state.persisted is None:
+            yield Transition("create", "create the migration", persist(state, first_migration()))
             return
         if migration is None:
-            assert world.persisted is not None
-            restarted = replace(world, migration=world.persisted.restarted())
-            yield Option("runner", "the runner starts again", restarted)
+            assert state.persisted is not None
+            restarted = replace(state, migration=state.persisted.restarted())
+            yield Transition("runner", "the runner restarts", restarted)
             return
         assignment = migration.assignment()
         recipients = migration.pending_recipients(self.governors, self.replicas_by_cell)
-        notified = send(world, *(Notify(name, assignment) for name in recipients))
-        if notified != world:
-            yield Option("runner", "the runner notifies", notified)
-        wait = 0 if self.weakness is Weakness.NO_WAIT else WAIT
-        after = migration.advance(world.now, self.governors, self.replicas_by_cell, wait)
+        notified = send(state, *(Notification(name, assignment) for name in recipients))
+        if notified != state:
+            yield Transition("runner", "the runner notifies", notified)
+        wait = 0 if self.mutation is Mutation.NO_WAIT else FENCING_WAIT_TICKS
+        after = migration.advance(state.now, self.governors, self.replicas_by_cell, wait)
         if after != migration:
-            yield Option("runner", f"the runner goes to {after.step.value}", persist(world, after))
+            yield Transition("runner", f"the runner advances to {after.step.value}", persist(state, after))
         may_undo = migration.step is not MigrationStep.DONE and not migration.is_undo
-        if may_undo and world.happened.undos < self.bounds.undos:
-            yield Option("undo", "undo", self._undo(world, migration))
-        if world.happened.crashes < self.bounds.crashes:
-            yield Option("runner", "the runner dies", replace(self._crash(world), migration=None))
+        if may_undo and state.event_counts.undos < self.bounds.undos:
+            yield Transition("undo", "undo", self._undo(state, migration))
+        if state.event_counts.crashes < self.bounds.crashes:
+            yield Transition("runner", "the runner crashes", replace(self._crash(state), migration=None))
 
-    def _undo(self, world: World, migration: Migration) -> World:
+    def _undo(self, state: ModelState, migration: Migration) -> ModelState:
         undo = migration.undo()
-        if self.weakness is Weakness.UNDO_WITHOUT_CLOSING:
+        if self.mutation is Mutation.UNDO_WITHOUT_CLOSING:
             undo = msgspec.structs.replace(undo, must_close_source=False)
-        happened = world.happened._replace(undos=world.happened.undos + 1)
-        return replace(persist(world, undo), happened=happened)
+        event_counts = state.event_counts._replace(undos=state.event_counts.undos + 1)
+        return replace(persist(state, undo), event_counts=event_counts)
 
     @staticmethod
-    def _crash(world: World) -> World:
-        return replace(world, happened=world.happened._replace(crashes=world.happened.crashes + 1))
+    def _crash(state: ModelState) -> ModelState:
+        return replace(
+            state, event_counts=state.event_counts._replace(crashes=state.event_counts.crashes + 1)
+        )
 
     @staticmethod
-    def _tick(world: World) -> World:
-        return replace(world, happened=world.happened._replace(ticks=world.happened.ticks + 1))
+    def _tick(state: ModelState) -> ModelState:
+        return replace(state, event_counts=state.event_counts._replace(ticks=state.event_counts.ticks + 1))
 
-    def _governor_options(self, world: World) -> Iterator[Option]:
-        for name, directory in world.directories.items():
-            for replica in world.fences:
+    def _governor_transitions(self, state: ModelState) -> Iterator[Transition]:
+        for name, directory in state.directories.items():
+            for replica in state.fences:
                 heartbeat = Heartbeat(replica, directory.heartbeat_assignments())
-                if heartbeat not in world.network and world.happened.ticks < self.bounds.ticks:
-                    after = send(self._tick(world), heartbeat)
-                    yield Option(f"{name} heartbeats", f"{name} heartbeats {replica}", after)
-            found = directory.route(TENANT, SOURCE)
-            route = None if found is None else Route(*found)
-            for proxy, held in world.routes.items():
-                if route != held:
-                    after = replace(world, routes={**world.routes, proxy: route})
-                    yield Option(f"{name} routes", f"{name} routes {proxy}", after)
-
-    def _proxy_options(self, world: World) -> Iterator[Option]:
-        if world.happened.writes >= self.bounds.writes:
+                if heartbeat not in state.network and state.event_counts.ticks < self.bounds.ticks:
+                    after = send(self._tick(state), heartbeat)
+                    yield Transition(f"{name} heartbeats", f"{name} heartbeats {replica}", after)
+            cell_and_generation = directory.route(TENANT, SOURCE)
+            route = None if cell_and_generation is None else Route(*cell_and_generation)
+            for proxy, current_route in state.routes.items():
+                if route != current_route:
+                    after = replace(state, routes={**state.routes, proxy: route})
+                    yield Transition(f"{name} routes", f"{name} routes {proxy}", after)
+
+    def _proxy_transitions(self, state: ModelState) -> Iterator[Transition]:
+        if state.event_counts.writes >= self.bounds.writes:
             return
-        new_key = f"k{world.happened.writes}"
-        happened = world.happened._replace(writes=world.happened.writes + 1)
-        for proxy, route in world.routes.items():
+        new_key = f"k{state.event_counts.writes}"
+        event_counts = state.event_counts._replace(writes=state.event_counts.writes + 1)
+        for proxy, route in state.routes.items():
             if route is None:
                 continue
             for replica in self.replicas_by_cell[route.cell]:
-                # A new write, or a client's retry: longer than the settle time none is retried.
-                for key in dict.fromkeys((new_key, world.retried_key or new_key)):
+                # The key is new, or a client retries a write; none is retried after the settle time.
+                for key in dict.fromkeys((new_key, state.retried_key or new_key)):
                     write = Write(replica, route, key)
-                    after = replace(world, happened=happened, retried_key=world.retried_key or key)
-                    yield Option(f"{proxy} sends", f"{proxy} sends {write}", send(after, write))
+                    after = replace(state, event_counts=event_counts, retried_key=state.retried_key or key)
+                    yield Transition(f"{proxy} sends", f"{proxy} sends {write}", send(after, write))
 
-    def _replica_options(self, world: World) -> Iterator[Option]:
-        for name, fence in world.fences.items():
+    def _replica_transitions(self, state: ModelState) -> Iterator[Transition]:
+        for name, fence in state.fences.items():
             for key in sorted(fence.in_flight.get(TENANT, NO_WRITE_KEYS)):
-                yield Option(f"{name} completes", f"{name} completes {key}", self._complete(world, name, key))
-            if world.happened.crashes < self.bounds.crashes:
-                after = with_fence(self._crash(world), fence.restarted())
-                yield Option(f"{name} restarts", f"{name} restarts", after)
-
-    def _time_options(self, world: World) -> Iterator[Option]:
-        """Leases expire, and what is in flight is settled well within the wait."""
-        if world.happened.ticks >= self.bounds.ticks:
+                yield Transition(
+                    f"{name} completes", f"{name} completes {key}", self._complete(state, name, key)
+                )
+            if state.event_counts.crashes < self.bounds.crashes:
+                after = with_fence(self._crash(state), fence.restarted())
+                yield Transition(f"{name} restarts", f"{name} restarts", after)
+
+    def _time_transitions(self, state: ModelState) -> Iterator[Transition]:
+        """Time passes beyond the fencing wait: leases expire, and writes in flight complete or are lost."""
+        if state.event_counts.ticks >= self.bounds.ticks:
             return
         later = replace(
-            self._tick(world),
-            now=world.now + WAIT + 1,
+            self._tick(state),
+            now=state.now + FENCING_WAIT_TICKS + 1,
             retried_key="",
-            network=tuple(message for message in world.network if not isinstance(message, Write)),
+            network=tuple(message for message in state.network if not isinstance(message, Write)),
         )
-        for name, fence in world.fences.items():
+        for name, fence in state.fences.items():
             for key in sorted(fence.in_flight.get(TENANT, NO_WRITE_KEYS)):
                 later = self._complete(later, name, key)
-        yield Option("time passes", "time passes", later)
+        yield Transition("time passes", "time passes", later)
 
-    def _complete(self, world: World, name: str, key: str) -> World:
-        """The effect of a write. Within a cell its ledger takes a key once; between cells migrations must."""
-        after = with_fence(world, world.fences[name].complete_write(TENANT, key))
-        cell = self.replicas_by_cell[world.fences[name].cell]
-        if any(key in world.fences[other].completed.get(TENANT, NO_WRITE_KEYS) for other in cell):
+    def _complete(self, state: ModelState, name: str, key: str) -> ModelState:
+        """Lets a running write take effect.
+
+        The replicas of a cell share a ledger that prevents a second effect of the same key within the cell.
+        Preventing it across cells is the task of the migration protocol.
+        """
+        after = with_fence(state, state.fences[name].complete_write(TENANT, key))
+        cell = self.replicas_by_cell[state.fences[name].cell]
+        if any(key in state.fences[other].completed.get(TENANT, NO_WRITE_KEYS) for other in cell):
             return after
-        return replace(after, effects=tuple(sorted((*world.effects, key))))
+        return replace(after, effects=tuple(sorted((*state.effects, key))))
 
-    def without_idle_messages(self, world: World) -> World:
-        """Leave out messages that can change nothing any more: what is held only ever grows newer."""
-        network = tuple(message for message in world.network if not self._is_idle(world, message))
-        return world if len(network) == len(world.network) else replace(world, network=network)
+    def without_ineffective_messages(self, state: ModelState) -> ModelState:
+        """Removes messages that can have no effect, because processes only apply newer assignments."""
+        network = tuple(message for message in state.network if not self._has_no_effect(state, message))
+        return state if len(network) == len(state.network) else replace(state, network=network)
 
-    def _is_idle(self, world: World, message: Message) -> bool:
-        if world.migration is None:
+    def _has_no_effect(self, state: ModelState, message: Message) -> bool:
+        if state.migration is None:
             return False
         match message:
-            case Answer(ack):
-                return world.migration.with_acknowledgement(world.now, ack, self.governors) == world.migration
-            case Notify(recipient, assignment):
-                holder = world.directories.get(recipient) or world.fences[recipient]
+            case Acknowledgement(ack):
+                return state.migration.with_acknowledgement(state.now, ack, self.governors) == state.migration
+            case Notification(recipient, assignment):
+                holder = state.directories.get(recipient) or state.fences[recipient]
                 known = holder.assignments.get(TENANT)
-                return assignment != world.migration.assignment() and not assignment.supersedes(known)
+                return assignment != state.migration.assignment() and not assignment.supersedes(known)
         return False
 
-    def deliver(self, world: World, message: Message) -> World:
-        after = replace(world, network=tuple(other for other in world.network if other != message))
+    def deliver(self, state: ModelState, message: Message) -> ModelState:
+        after = replace(state, network=tuple(other for other in state.network if other != message))
         match message:
             case Heartbeat(recipient, assignments):
-                fence = world.fences[recipient].renew_lease(world.now, LEASE, assignments)
+                fence = state.fences[recipient].renew_lease(state.now, LEASE_TICKS, assignments)
                 return with_fence(after, fence)
             case Write():
                 return self._deliver_write(after, message)
-            case Notify(recipient, assignment):
+            case Notification(recipient, assignment):
                 return self._deliver_assignment(after, recipient, assignment)
-            case Answer(ack) if world.migration is not None:
-                return persist(after, world.migration.with_acknowledgement(world.now, ack, self.governors))
+            case Acknowledgement(ack) if state.migration is not None:
+                return persist(after, state.migration.with_acknowledgement(state.now, ack, self.governors))
         return after
 
-    def _deliver_write(self, world: World, write: Write) -> World:
-        fence = world.fences[write.recipient]
-        after, decision = fence.check_write(world.now, TENANT, *write.route, write.key)
-        if self.weakness is Weakness.NO_LEASE and decision is WriteDecision.NO_LEASE:
-            leased = replace(fence, lease_until_us=world.now + 1)
-            after, decision = leased.check_write(world.now, TENANT, *write.route, write.key)
-        world = with_fence(world, after)
+    def _deliver_write(self, state: ModelState, write: Write) -> ModelState:
+        fence = state.fences[write.recipient]
+        after, decision = fence.check_write(state.now, TENANT, *write.route, write.key)
+        if self.mutation is Mutation.NO_LEASE and decision is WriteDecision.NO_LEASE:
+            leased = replace(fence, lease_until_us=state.now + 1)
+            after, decision = leased.check_write(state.now, TENANT, *write.route, write.key)
+        state = with_fence(state, after)
         if decision is not WriteDecision.ACCEPT:
-            return world
-        return replace(world, accepted=(*world.accepted, write.route))
-
-    def _deliver_assignment(self, world: World, recipient: str, assignment: TenantAssignment) -> World:
-        if recipient in world.directories:
-            directory, ack = world.directories[recipient].apply_assignment(assignment)
-            world = replace(world, directories={**world.directories, recipient: directory})
+            return state
+        return replace(state, accepted=(*state.accepted, write.route))
+
+    def _deliver_assignment(
+        self, state: ModelState, recipient: str, assignment: TenantAssignment
+    ) -> ModelState:
+        if recipient in state.directories:
+            directory, ack = state.directories[recipient].apply_assignment(assignment)
+            state = replace(state, directories={**state.directories, recipient: directory})
         else:
-            fence, ack = world.fences[recipient].apply_assignment(assignment)
-            ack = self._weaken(ack)
-            world = with_fence(world, fence)
-        return send(world, Answer(ack))
+            fence, ack = state.fences[recipient].apply_assignment(assignment)
+            ack = self._mutate_acknowledgement(ack)
+            state = with_fence(state, fence)
+        return send(state, Acknowledgement(ack))
 
-    def _weaken(self, ack: AssignmentAck) -> AssignmentAck:
-        if self.weakness is Weakness.BUSY_REPLICAS_CONFIRM:
+    def _mutate_acknowledgement(self, ack: AssignmentAck) -> AssignmentAck:
+        if self.mutation is Mutation.BUSY_REPLICAS_CONFIRM:
             return ack._replace(has_writes_in_flight=False)
-        if self.weakness is Weakness.COMPLETED_KEYS_LOST:
+        if self.mutation is Mutation.COMPLETED_KEYS_LOST:
             return ack._replace(completed_keys=NO_WRITE_KEYS)
         return ack
 
 
-def find_violation(before: World, after: World) -> str:
-    """What must never be, or "". A write is settled when it has taken effect."""
+def find_violation(before: ModelState, after: ModelState) -> str:
+    """Describes a violation in the transition from `before` to `after`; returns "" if there is none."""
     if len(set(after.effects)) < len(after.effects):
         return f"a key took effect twice: {after.effects}"
     if len(after.accepted) > len(before.accepted):
         cell, generation = after.accepted[-1]
         if any(other.generation > generation and other.cell != cell for other in after.accepted):
-            return f"a write at {cell}, generation {generation}, after a later cell took one"
+            return f"a write accepted at {cell}, generation {generation}, after a newer cell accepted one"
         others = [f.name for f in after.fences.values() if f.cell != cell and f.in_flight.get(TENANT)]
         if others:
-            return f"a write taken at {cell} while {others} has one in hand"
+            return f"a write accepted at {cell} while {others} had one in flight"
     return ""
 
 
 class SearchResult(NamedTuple):
-    """How many worlds were seen, and the steps to the first violation, if there is one."""
+    """The number of states visited, and the steps to the first violation, if there is one."""
 
-    world_count: int
+    state_count: int
     steps: list[str]
 
 
-def search(model: Model, world: World, max_worlds: int) -> SearchResult:
-    """Search breadth first through all worlds that the bounds allow, up to `max_worlds`."""
-    reached: dict[Hashable, tuple[Hashable, str]] = {world.key(): (None, "")}
-    queue = deque([world])
+def search(model: Model, state: ModelState, max_states: int) -> SearchResult:
+    """Searches all states within the bounds breadth-first, up to `max_states`."""
+    reached: dict[Hashable, tuple[Hashable, str]] = {state.search_key(): (None, "")}
+    queue = deque([state])
     while queue:
-        here = queue.popleft()
-        for option in model.options(here):
-            after = model.without_idle_messages(option.world)
-            violation = find_violation(here, after)
+        current = queue.popleft()
+        for transition in model.transitions(current):
+            after = model.without_ineffective_messages(transition.state)
+            violation = find_violation(current, after)
             if violation:
-                last_steps = [option.text, f"WRONG: {violation}"]
-                return SearchResult(len(reached), _steps_to(reached, here.key()) + last_steps)
-            key = after.key()
+                last_steps = [transition.description, f"VIOLATION: {violation}"]
+                return SearchResult(len(reached), _steps_to(reached, current.search_key()) + last_steps)
+            key = after.search_key()
             if key in reached:
                 continue
-            reached[key] = (here.key(), option.text)
-            if len(reached) > max_worlds:
+            reached[key] = (current.search_key(), transition.description)
+            if len(reached) > max_states:
                 return SearchResult(len(reached), [])
             queue.append(after)
     return SearchResult(len(reached), [])
@@ -438,46 +461,46 @@
 
 
 class RandomRun(NamedTuple):
-    """The steps of a run, the world after them, and the violation that ended it or ""."""
+    """The steps of a run, the state after them, and the violation that ended it, or ""."""
 
     steps: list[str]
-    world: World
+    state: ModelState
     violation: str
 
 
 def run_randomly(seed: int, length: int = 120) -> RandomRun:
-    """One long run with two governors, two replicas a cell, crashes, undos and passing time."""
+    """Takes random transitions with two governors, two replicas per cell, crashes, undos and passing time."""
     governors = ("g1", "g2")
     replicas_by_cell = {SOURCE: ("a1", "a2"), TARGET: ("b1", "b2")}
     bounds = Bounds(writes=12, crashes=5, undos=seed % 2, ticks=14)
     model = Model(bounds, governors, replicas_by_cell)
-    world = initial_world(governors, replicas_by_cell, 3)
+    state = initial_state(governors, replicas_by_cell, 3)
     generator = random.Random(seed)
     steps: list[str] = []
     for _ in range(length):
-        options = list(model.options(world))
-        if not options:
+        transitions = list(model.transitions(state))
+        if not transitions:
             break
-        kind = generator.choice(sorted({option.kind for option in options}))
-        option = generator.choice([option for option in options if option.kind == kind])
-        steps.append(option.text)
-        violation = find_violation(world, option.world)
+        kind = generator.choice(sorted({transition.kind for transition in transitions}))
+        transition = generator.choice([transition for transition in transitions if transition.kind == kind])
+        steps.append(transition.description)
+        violation = find_violation(state, transition.state)
         if violation:
-            return RandomRun(steps, option.world, violation)
-        world = option.world
-    return RandomRun(steps, world, "")
+            return RandomRun(steps, transition.state, violation)
+        state = transition.state
+    return RandomRun(steps, state, "")
 
 
-def run_to(step: MigrationStep, world: World, model: Model) -> World:
-    """The world when the migration comes to a step without any loss."""
+def run_to(step: MigrationStep, state: ModelState, model: Model) -> ModelState:
+    """Runs a migration without losses or crashes until it reaches a step; returns the state then."""
     for _ in range(200):
-        if world.migration and world.migration.step is step:
-            return world
-        options = list(model.options(world))
-        world = next(
-            option.world
-            for prefix in ("the runner goes", "delivered", "the runner notifies", "create")
-            for option in options
-            if option.text.startswith(prefix)
+        if state.migration and state.migration.step is step:
+            return state
+        transitions = list(model.transitions(state))
+        state = next(
+            transition.state
+            for prefix in ("the runner advances", "delivered", "the runner notifies", "create")
+            for transition in transitions
+            if transition.description.startswith(prefix)
         )
-    raise AssertionError(f"never came to {step}")
+    raise AssertionError(f"the migration did not reach {step}")
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""The migration protocol: every order of messages and crashes in the small; many seeds in the larger."""
+"""The migration protocol: exhaustive search of small models, and random runs of a larger one."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     TENANT,
     Bounds,
     Model,
-    Weakness,
+    Mutation,
     first_migration,
-    initial_world,
+    initial_state,
     run_randomly,
     run_to,
     search,
@@ -34,45 +34,45 @@
     ],
     ids=["two writes", "a crash", "an undo", "passing time"],
 )
-def test_no_order_in_the_small_violates_the_protocol(bounds: Bounds, proxy_count: int) -> None:
-    """Each search ends by itself: it has seen every world that its bounds allow."""
-    max_worlds = 20_000
+def test_no_reachable_state_of_a_small_model_violates_the_protocol(bounds: Bounds, proxy_count: int) -> None:
+    """Each search visits every state within its bounds, as it ends before it reaches `max_states`."""
+    max_states = 20_000
 
-    found = search(Model(bounds), initial_world(proxy_count=proxy_count), max_worlds)
+    result = search(Model(bounds), initial_state(proxy_count=proxy_count), max_states)
 
-    assert not found.steps, "\n".join(found.steps)
-    assert 1_000 < found.world_count < max_worlds
+    assert not result.steps, "\n".join(result.steps)
+    assert 1_000 < result.state_count < max_states
 
 
 @pytest.mark.parametrize(
-    ("weakness", "undos", "ticks"),
+    ("mutation", "undos", "ticks"),
     [
-        (Weakness.NO_WAIT, 0, 0),
-        (Weakness.NO_LEASE, 0, 1),
-        (Weakness.BUSY_REPLICAS_CONFIRM, 0, 0),
-        (Weakness.COMPLETED_KEYS_LOST, 0, 0),
-        (Weakness.UNDO_WITHOUT_CLOSING, 1, 0),
+        (Mutation.NO_WAIT, 0, 0),
+        (Mutation.NO_LEASE, 0, 1),
+        (Mutation.BUSY_REPLICAS_CONFIRM, 0, 0),
+        (Mutation.COMPLETED_KEYS_LOST, 0, 0),
+        (Mutation.UNDO_WITHOUT_CLOSING, 1, 0),
     ],
 )
-def test_the_search_finds_each_protocol_that_is_weakened(weakness: Weakness, undos: int, ticks: int) -> None:
-    world = initial_world(proxy_count=1)
-    if ticks:  # the target's lease is renewed meanwhile, which would take a step more
-        fence = replace(world.fences["b1"], lease_until_us=10**9)
-        world = replace(world, fences={**world.fences, "b1": fence})
-    model = Model(Bounds(writes=2, undos=undos, ticks=ticks), weakness=weakness)
+def test_the_search_finds_a_violation_without_one_rule(mutation: Mutation, undos: int, ticks: int) -> None:
+    state = initial_state(proxy_count=1)
+    if ticks:  # a renewal of the target's lease after the tick would need another tick
+        fence = replace(state.fences["b1"], lease_until_us=10**9)
+        state = replace(state, fences={**state.fences, "b1": fence})
+    model = Model(Bounds(writes=2, undos=undos, ticks=ticks), mutation=mutation)
 
-    found = search(model, world, 60_000)
+    result = search(model, state, 60_000)
 
-    assert found.steps
-    assert found.steps[-1].startswith("WRONG")
+    assert result.steps
+    assert result.steps[-1].startswith("VIOLATION")
 
 
-def test_no_random_run_in_the_larger_violates_the_protocol() -> None:
+def test_no_random_run_of_a_larger_model_violates_the_protocol() -> None:
     ends = set()
     for seed in range(250):
         run = run_randomly(seed)
         assert not run.violation, f"seed {seed}: {run.violation}\n" + "\n".join(run.steps)
-        migration = run.world.migration
+        migration = run.state.migration
         ends.add((migration.step, migration.is_undo) if migration else None)
     assert {(MigrationStep.DONE, False), (MigrationStep.DONE, True)} <= ends
 
@@ -82,18 +82,18 @@
     assert run_randomly(seed).steps == run_randomly(seed).steps
 
 
-def test_a_migration_goes_through_and_says_what_it_waits_for() -> None:
+def test_a_migration_completes_and_describes_what_it_waits_for() -> None:
     model = Model(Bounds())
-    world = run_to(MigrationStep.CLOSE, initial_world(), model)
-    assert world.migration is not None
-    wait = world.migration.describe_wait(0, GOVERNORS, REPLICAS_BY_CELL, 25_000_000)
+    state = run_to(MigrationStep.CLOSE, initial_state(), model)
+    assert state.migration is not None
+    wait = state.migration.describe_wait(0, GOVERNORS, REPLICAS_BY_CELL, 25_000_000)
     assert wait == "a1 to confirm; or governors g1, then 25 s"
 
-    world = run_to(MigrationStep.DONE, world, model)
-    assert world.directories["g1"].route(TENANT, "A") == ("B", 2)
+    state = run_to(MigrationStep.DONE, state, model)
+    assert state.directories["g1"].route(TENANT, "A") == ("B", 2)
 
 
-def test_a_second_migration_of_one_generation_is_stopped_where_the_first_is_known() -> None:
+def test_a_second_migration_of_the_same_generation_is_stopped() -> None:
     directory, _ = TenantDirectory("g1").apply_assignment(TenantAssignment(TENANT, 2, "first"))
     directory, ack = directory.apply_assignment(TenantAssignment(TENANT, 2, "second"))
     second = Migration(id="second", tenant=TENANT, source="A", target="C", generation=2)
@@ -104,13 +104,13 @@
     assert after.pending_recipients(GOVERNORS, {"A": ("a1",), "C": ("c1",)}) == []
 
 
-def test_a_migration_that_is_done_is_not_undone() -> None:
+def test_a_completed_migration_cannot_be_undone() -> None:
     done = msgspec.structs.replace(first_migration(), step=MigrationStep.DONE)
 
     with pytest.raises(ValueError, match="order a move back"):
         done.undo()
 
 
-def test_an_undo_is_not_undone_again() -> None:
+def test_an_undo_cannot_be_undone() -> None:
     with pytest.raises(ValueError, match="already"):
         first_migration().undo().undo()
