--- a/tests/support/migration_site.py
+++ b/tests/support/migration_site.py
@@ -1,4 +1,4 @@
-"""Test doubles of what a migration runner talks to: a governor, four replicas and an endpoint list."""
+"""Test doubles of the servers that a migration runner calls: a governor, replicas, an endpoint list."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 class MigrationSite:
-    """A governor's directory, the replicas' fences and an endpoint list, each on a port of its own.
+    """Servers of a governor's directory, of four replicas' fences and of an endpoint list.
 
     Attributes:
-        deaf: The one that answers nothing, or "".
-        listed_addresses: Addresses that the endpoint list gives instead of the true ones.
-        request_counts: Requests received, by name.
+        unresponsive: The name of the governor or replica that does not answer, or "".
+        listed_addresses: Addresses that the endpoint list contains instead of the actual ones, by replica.
+        request_counts: The number of requests received, by governor or replica.
     """
 
-    def __init__(self, folder: Path, deaf: str = "") -> None:
+    def __init__(self, folder: Path, unresponsive: str = "") -> None:
         names = ("roster", GOVERNOR, *CELL_BY_REPLICA)
         self.ports = dict(zip(names, find_free_ports(len(names)), strict=True))
         self.directory = TenantDirectory("a")
@@ -45,7 +45,7 @@
             for name, cell in CELL_BY_REPLICA.items()
         }
         self.request_counts = Counter[str]()
-        self.deaf = deaf
+        self.unresponsive = unresponsive
         self.listed_addresses = dict[str, str]()
         self.servers = [self._serve(name, port) for name, port in self.ports.items()]
         self.settings = on_sockets(
@@ -70,7 +70,7 @@
                 feed.EndpointListUpdate("l", 1, tuple(map(self._endpoint, CELL_BY_REPLICA)), True)
             )
         self.request_counts[name] += 1
-        if name == self.deaf:
+        if name == self.unresponsive:
             return None
         assignment: TenantAssignment = msgspec.json.decode(request.body, type=TenantAssignment)
         if name == GOVERNOR:
@@ -88,8 +88,8 @@
         _, decision = fence.check_write(0, TENANT, fence.cell, generation, "new")
         return decision is WriteDecision.ACCEPT
 
-    def settle_in_a_minute(self) -> None:
-        """Make the wait longer than a test, so that only the replicas' own answers end the step."""
+    def use_settle_time_of_a_minute(self) -> None:
+        """Makes the wait longer than any test, so that only the replicas' confirmations end a step."""
         fleet = self.settings.fleet
         assert fleet.placement is not None
         placement = msgspec.structs.replace(fleet.placement, settle_us=60_000_000)
@@ -99,12 +99,12 @@
         (migration,) = create_migrations(folder, self.settings, {TENANT: "B"})
         return migration
 
-    async def run_migrations(self, folder: Path, waits: list[str] | None = None) -> list[Migration]:
-        """Run all that are not done; `waits` gets each step and what it waits for."""
-        heard: list[str] = [] if waits is None else waits
+    async def run_pending_migrations(self, folder: Path, waits: list[str] | None = None) -> list[Migration]:
+        """Runs all migrations that are not done; appends each step and what it waits for to `waits`."""
+        changes: list[str] = [] if waits is None else waits
 
         def on_change(migration: Migration, wait: str) -> None:
-            heard.append(f"{migration.step.value}: {wait}")
+            changes.append(f"{migration.step.value}: {wait}")
 
         runner = MigrationRunner(self.settings, folder, on_change)
         pending = [m for m in load_migrations(folder) if m.step is not MigrationStep.DONE]
--- a/tests/support/rollout_site.py
+++ b/tests/support/rollout_site.py
@@ -1,4 +1,4 @@
-"""Test doubles of what a rollout runner talks to: a governor that counts, an endpoint list, and commands."""
+"""Test doubles of what a rollout runner uses: a governor with counts, an endpoint list, and commands."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 REPLICAS_BY_CELL = {"A": ("a1", "a2"), "B": ("b1", "b2"), "C": ("c1", "c2")}
 ALL_REPLICAS = tuple(name for names in REPLICAS_BY_CELL.values() for name in names)
 SOAK_S = 0.3
-REQUESTS = 60  # that a cell receives between two looks
+REQUESTS = 60  # the number of requests that a cell receives between two polls
 LATENCY_US = 200_000
 
 
 class RolloutSite:
-    """A governor and an endpoint list, and a command that updates a replica by adding its name to a file.
+    """A governor and an endpoint list, and a command that updates a replica by appending its name to a file.
 
     Attributes:
-        faulty: Replicas whose new incarnation fails half of its cell's requests.
-        returns: Whether updated replicas come back in a new incarnation.
-        messages: What the runner said.
-        unanswered_list_requests: How many requests the endpoint list does not answer from now on.
-        is_governor_silent: Whether the governor does not answer now.
+        faulty: Replicas that, once updated, cause half of their cell's requests to fail.
+        returns: Whether updated replicas become ready again, in a new incarnation.
+        messages: The runner's messages for operators.
+        unanswered_list_requests: How many of the next requests the endpoint list rejects.
+        is_governor_silent: Returns whether the governor rejects requests at the moment.
     """
 
     def __init__(self, folder: Path, faulty: tuple[str, ...] = (), returns: bool = True) -> None:
@@ -52,11 +52,11 @@
         self.is_governor_silent: Callable[[], bool] = lambda: False
 
     def updated(self) -> list[str]:
-        """The replicas that the command has updated, in order."""
+        """Returns the replicas that the command has updated, in order."""
         return self._names_in("renewed")
 
     def restored(self) -> list[str]:
-        """The replicas that the rollback command has restored, in order."""
+        """Returns the replicas that the rollback command has restored, in order."""
         return self._names_in("back")
 
     def _names_in(self, file: str) -> list[str]:
@@ -85,7 +85,7 @@
         return json_response({"epoch": "e", "cells": self.counts})
 
     def run(self, rollout: Rollout) -> Rollout:
-        """Run a rollout to its end."""
+        """Runs a rollout until it is done or halted."""
 
         async def run_with_servers() -> Rollout:
             servers = [HttpServer(self.answer_list), HttpServer(self.answer_status)]
@@ -107,7 +107,7 @@
         return asyncio.run(run_with_servers())
 
     def rollout(self) -> Rollout:
-        """A new rollout over all cells, one replica at a time."""
+        """Returns a new rollout of all cells that updates one replica at a time."""
         return Rollout(
             id="000001",
             cells=tuple(REPLICAS_BY_CELL),
--- a/tests/test_migration_runner.py
+++ b/tests/test_migration_runner.py
@@ -1,4 +1,4 @@
-"""The migration runner over HTTP: killed after each record, stopped, undone, one at a time."""
+"""The migration runner over HTTP: restarts after each record, conflicts, undos, unreachable replicas."""
 
 from __future__ import annotations
 
@@ -32,27 +32,27 @@
     monkeypatch.setattr(runner, "save_migration", save_and_die)
 
 
-def check_fences(site: MigrationSite, migration: Migration, deaf: str) -> None:
-    """Old and new cell never both accept a write."""
+def check_fences(site: MigrationSite, migration: Migration, unresponsive: str) -> None:
+    """Checks that the source and the target never both accept a write."""
     if migration.step is MigrationStep.CLOSE:
         assert not any(site.accepts_write(name, 2) for name in TARGET_REPLICAS)
     else:
-        assert not any(site.accepts_write(name, 1) for name in SOURCE_REPLICAS if name != deaf)
+        assert not any(site.accepts_write(name, 1) for name in SOURCE_REPLICAS if name != unresponsive)
 
 
-@pytest.mark.parametrize("deaf", ["", "a2"])
+@pytest.mark.parametrize("unresponsive", ["", "a2"])
 @pytest.mark.usefixtures("killed_after_each_record")
-def test_killed_after_each_record_it_goes_on_to_the_end(tmp_path: Path, deaf: str) -> None:
+def test_a_runner_killed_after_each_record_completes_the_migration(tmp_path: Path, unresponsive: str) -> None:
     folder = tmp_path / "s"
 
     async def run_until_done(site: MigrationSite) -> int:
-        """How many runs it took."""
+        """Returns the number of runs that were needed."""
         for run in range(1, 21):
             try:
-                ended = await site.run_migrations(folder)
+                ended = await site.run_pending_migrations(folder)
             except KilledError:
                 (migration,) = load_migrations(folder)
-                check_fences(site, migration, deaf)
+                check_fences(site, migration, unresponsive)
                 if migration.step is MigrationStep.DONE:
                     return run
             else:
@@ -61,13 +61,13 @@
         return 20
 
     async def work() -> None:
-        site = MigrationSite(tmp_path, deaf)
+        site = MigrationSite(tmp_path, unresponsive)
         try:
             site.create_migration(folder)
             runs = await run_until_done(site)
             assert runs >= 3
             assert site.directory.route(TENANT, "A") == ("B", 2)
-            # A replica that missed the runner's notification has it from the next heartbeat.
+            # A replica that missed the runner's notification learns of it from the next heartbeat.
             for name in TARGET_REPLICAS:
                 heartbeat = site.directory.heartbeat_assignments()
                 site.fences[name] = site.fences[name].renew_lease(0, FOREVER_US, heartbeat)
@@ -78,17 +78,17 @@
     asyncio.run(work())
 
 
-def test_a_migration_says_what_it_waits_for_and_an_undo_takes_its_place(tmp_path: Path) -> None:
+def test_a_waiting_migration_describes_its_wait_and_is_replaced_by_its_undo(tmp_path: Path) -> None:
     folder = tmp_path / "s"
 
     async def work() -> None:
-        site = MigrationSite(tmp_path, deaf="g")
+        site = MigrationSite(tmp_path, unresponsive="g")
         waits = list[str]()
-        # A write in flight that never ends.
+        # This write stays in flight, so that a2 does not confirm.
         site.fences["a2"], _ = site.fences["a2"].check_write(0, TENANT, "A", 1, "k1")
         try:
             migration = site.create_migration(folder)
-            running = asyncio.ensure_future(site.run_migrations(folder, waits))
+            running = asyncio.ensure_future(site.run_pending_migrations(folder, waits))
             for _ in range(100):
                 await asyncio.sleep(0.05)
                 if any("a2 to confirm" in wait and "governors a" in wait for wait in waits):
@@ -99,8 +99,8 @@
             (ended,) = await running
             assert ended.step is MigrationStep.CLOSE
             assert waits[-1] == "shut: undone"
-            site.deaf = ""
-            last = (await site.run_migrations(folder, waits))[-1]
+            site.unresponsive = ""
+            last = (await site.run_pending_migrations(folder, waits))[-1]
             assert last.step is MigrationStep.DONE or undo.step is MigrationStep.CLOSE
         finally:
             site.close()
@@ -112,19 +112,19 @@
     asyncio.run(work())
 
 
-def test_an_unknown_migration_is_not_undone(tmp_path: Path) -> None:
+def test_an_unknown_migration_cannot_be_undone(tmp_path: Path) -> None:
     with pytest.raises(ValueError, match="no move"):
         undo_migration(tmp_path, "nothing")
 
 
-def test_a_generation_that_another_migration_holds_stops_this_one(tmp_path: Path) -> None:
+def test_a_migration_stops_if_another_one_has_the_same_generation(tmp_path: Path) -> None:
     async def work() -> None:
         site = MigrationSite(tmp_path)
         try:
             another = TenantAssignment(TENANT, 2, "another")
             site.directory, _ = site.directory.apply_assignment(another)
             site.create_migration(tmp_path / "s")
-            (ended,) = await site.run_migrations(tmp_path / "s")
+            (ended,) = await site.run_pending_migrations(tmp_path / "s")
             assert "another" in ended.conflict
             assert ended.step is MigrationStep.CLOSE
             assert not any(site.accepts_write(name, 2) for name in CELL_BY_REPLICA)
@@ -142,7 +142,9 @@
     FolderLock(tmp_path).release()
 
 
-def test_a_write_to_a_full_disk_leaves_the_old_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_file_replacement_keeps_the_old_content(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def fail_for_lack_of_space(fd: int) -> None:
         raise OSError(28, "No space left on device")
 
@@ -153,22 +155,24 @@
     assert (tmp_path / "x").read_bytes() == b"old"
 
 
-def test_a_file_that_is_no_record_is_named(tmp_path: Path) -> None:
+def test_an_invalid_record_is_reported_with_its_file(tmp_path: Path) -> None:
     (tmp_path / "000000-2.move").write_bytes(b"{")
     with pytest.raises(ValueError, match="000000-2.move"):
         load_migrations(tmp_path)
 
 
 @pytest.mark.parametrize("first", ["127.0.0.1:99999", "nowhere", "127.0.0.1:9"])
-def test_a_replica_is_notified_where_it_is_now_whatever_its_address_was(tmp_path: Path, first: str) -> None:
+def test_a_replica_is_notified_at_its_current_address(tmp_path: Path, first: str) -> None:
+    """With clients kept by name, a replica that returned elsewhere was notified at its old address."""
+
     async def work() -> None:
         site = MigrationSite(tmp_path)
-        site.settle_in_a_minute()
+        site.use_settle_time_of_a_minute()
         site.listed_addresses["a2"] = first
         site.create_migration(tmp_path / "moves")
-        running = asyncio.ensure_future(site.run_migrations(tmp_path / "moves"))
+        running = asyncio.ensure_future(site.run_pending_migrations(tmp_path / "moves"))
         await asyncio.sleep(0.7)
-        assert not running.done()  # a2 has not confirmed, and the wait without it is a minute
+        assert not running.done()  # a2 has not confirmed, and the settle time is a minute
         site.listed_addresses.clear()
         (migration,) = await running
         assert migration.step is MigrationStep.DONE
@@ -178,16 +182,16 @@
     asyncio.run(asyncio.wait_for(work(), 30))
 
 
-def test_a_replica_that_does_not_answer_is_notified_less_and_less(tmp_path: Path) -> None:
+def test_notifications_of_an_unresponsive_replica_back_off(tmp_path: Path) -> None:
     async def work() -> None:
-        site = MigrationSite(tmp_path, deaf="a2")
-        site.settle_in_a_minute()
+        site = MigrationSite(tmp_path, unresponsive="a2")
+        site.use_settle_time_of_a_minute()
         site.create_migration(tmp_path / "moves")
-        running = asyncio.ensure_future(site.run_migrations(tmp_path / "moves"))
+        running = asyncio.ensure_future(site.run_pending_migrations(tmp_path / "moves"))
         await asyncio.sleep(4.0)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-        # At 0, 0.3, 0.9 and 2.1 s, and not fourteen times.
+        # The notifications are sent at about 0, 0.3, 0.9 and 2.1 s; without backoff there were fourteen.
         assert 3 <= site.request_counts["a2"] <= 5, site.request_counts
         site.close()
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -10,7 +10,7 @@
 SECOND = 1_000_000
 
 
-def test_a_flood_is_rejected_by_its_own_cell_and_what_was_lent_is_returned() -> None:
+def test_a_flood_affects_neither_its_cell_s_other_tenants_nor_other_cells() -> None:
     limiter = RateLimiter(RateLimits(cell_rate_per_s=10.0, tenant_rate_per_s=2.0, burst_s=2.0))
     admitted = Counter[str]()
 
@@ -21,24 +21,25 @@
             assert rejection.retry_after_us > 0
             assert "rate" in rejection.reason
 
-    for millisecond in range(20_000):  # the flood alone for 10 s, then two owners at their rate beside it
+    # The flooding tenant is alone for 10 s. Then two tenants of its cell send requests at their own rate.
+    for millisecond in range(20_000):
         now_us = millisecond * 1_000
-        owners_active = millisecond >= 10_000
+        others_active = millisecond >= 10_000
         if millisecond % 5 == 0:
-            request(now_us, "flood", "a", "flood beside owners" if owners_active else "flood alone")
-        if owners_active and millisecond % 500 == 0:
-            request(now_us, "one", "a", "owners")
-            request(now_us, "two", "a", "owners")
+            request(now_us, "flood", "a", "flood beside others" if others_active else "flood alone")
+        if others_active and millisecond % 500 == 0:
+            request(now_us, "one", "a", "others")
+            request(now_us, "two", "a", "others")
         if millisecond % 500 == 0:
             request(now_us, "three", "b", "other cell")
 
-    assert admitted["owners"] == 40  # none of theirs was rejected, in its cell or another
+    assert admitted["others"] == 40  # none of these requests was rejected
     assert admitted["other cell"] == 40
     assert 95 <= admitted["flood alone"] <= 125
-    assert 55 <= admitted["flood beside owners"] <= 70
+    assert 55 <= admitted["flood beside others"] <= 70
 
 
-def test_a_tenant_has_a_limit_of_requests_in_flight() -> None:
+def test_requests_in_flight_of_a_tenant_are_limited() -> None:
     limiter = RateLimiter(
         RateLimits(cell_rate_per_s=NO_RATE_LIMIT, tenant_rate_per_s=NO_RATE_LIMIT, tenant_in_flight_limit=2)
     )
@@ -48,7 +49,7 @@
     assert limiter.admit(0, "t", "a") is None
 
 
-def test_a_cell_has_a_limit_of_requests_in_flight_that_others_do_not_feel() -> None:
+def test_requests_in_flight_of_a_cell_are_limited_independently_of_other_cells() -> None:
     limiter = RateLimiter(
         RateLimits(cell_rate_per_s=NO_RATE_LIMIT, tenant_rate_per_s=NO_RATE_LIMIT, cell_in_flight_limit=3)
     )
@@ -59,7 +60,7 @@
     assert limiter.admit(0, "t7", "a") is None
 
 
-def test_invented_names_cost_no_memory() -> None:
+def test_the_number_of_remembered_tenants_is_limited() -> None:
     limiter = RateLimiter(RateLimits(cell_rate_per_s=NO_RATE_LIMIT, tenant_rate_per_s=5.0))
 
     for n in range(30_000):
@@ -70,11 +71,12 @@
     assert not limiter.tenant_in_flight
 
 
-def test_rejected_names_are_forgotten_before_a_tenant_with_a_request_in_flight() -> None:
+def test_a_tenant_with_a_request_in_flight_is_not_evicted() -> None:
     limiter = RateLimiter(RateLimits(cell_rate_per_s=10.0, tenant_rate_per_s=2.0, burst_s=2.0))
     assert limiter.admit(0, "busy", "a") is None
 
-    for n in range(2 * limiter.MAX_TENANTS):  # nearly all rejected, and all at once: no bucket is full yet
+    # Nearly all of these requests are rejected. They arrive at the same time, so that no bucket refills.
+    for n in range(2 * limiter.MAX_TENANTS):
         if limiter.admit(0, f"rejected-{n}", "a") is None:
             limiter.finish(f"rejected-{n}", "a")
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Staged rollouts: a regression is told from a surge and from chance, and a killed runner goes on."""
+"""Staged rollouts: detection of regressions, halts, and resumption after the runner was killed."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     ],
     ids=["more failures", "more failures than a surge brings", "slower"],
 )
-def test_a_regression_of_the_cell_is_described(current: dict[str, TrafficCounts], regression: str) -> None:
+def test_a_regression_of_a_cell_is_described(current: dict[str, TrafficCounts], regression: str) -> None:
     assert regression in describe_regression("A", BASELINE, current)
 
 
@@ -53,16 +53,16 @@
     [{**BASELINE, "B": counts(300, 0.5)}, SURGE, {**BASELINE, "A": counts(30, 1.0)}, ALL_SLOW],
     ids=["another cell fails", "a surge over all", "too few requests", "all are slower"],
 )
-def test_what_is_not_the_cell_s_own_is_no_regression(current: dict[str, TrafficCounts]) -> None:
+def test_changes_that_the_update_did_not_cause_are_no_regression(current: dict[str, TrafficCounts]) -> None:
     assert not describe_regression("A", BASELINE, current)
 
 
-def test_other_cells_are_stable_unless_they_fail() -> None:
+def test_other_cells_are_stable_unless_they_fail_more_than_before() -> None:
     assert are_other_cells_stable("A", BASELINE, {**BASELINE, "A": counts(300, 0.01, 400)})
     assert not are_other_cells_stable("A", BASELINE, {**BASELINE, "C": counts(300, 0.2)})
 
 
-def test_chance_alone_hardly_ever_halts() -> None:
+def test_random_variation_is_not_taken_for_a_regression() -> None:
     generator = random.Random(5)
 
     def sample(requests: int) -> TrafficCounts:
@@ -73,7 +73,7 @@
         )
 
     days = [
-        ({c: sample(200) for c in REPLICAS_BY_CELL}, {c: sample(200) for c in REPLICAS_BY_CELL})
+        ({cell: sample(200) for cell in REPLICAS_BY_CELL}, {cell: sample(200) for cell in REPLICAS_BY_CELL})
         for _ in range(400)
     ]
 
@@ -85,7 +85,7 @@
     monkeypatch.setattr(rollout_module, "POLL_INTERVAL_S", 0.05)
 
 
-def test_a_good_version_updates_cell_after_cell_and_each_replica_once(tmp_path: Path) -> None:
+def test_a_rollout_without_regressions_updates_each_replica_once_cell_by_cell(tmp_path: Path) -> None:
     site = RolloutSite(tmp_path)
 
     assert site.run(site.rollout()).step is RolloutStep.DONE
@@ -93,7 +93,7 @@
     assert site.updated() == ["a1", "a2", "b1", "b2", "c1", "c2"]
 
 
-def test_a_bad_version_halts_in_its_cell_and_touched_replicas_are_restored(tmp_path: Path) -> None:
+def test_a_regression_halts_the_rollout_and_rolls_back_the_updated_replicas(tmp_path: Path) -> None:
     site = RolloutSite(tmp_path, faulty=("b1",))
 
     ended = site.run(site.rollout())
@@ -108,10 +108,14 @@
 
 
 @pytest.mark.parametrize("step", [RolloutStep.UPDATE, RolloutStep.ROLL_BACK])
-def test_killed_in_an_affected_cell_it_keeps_its_baseline_and_restores(
+def test_a_rollout_resumed_in_an_affected_cell_keeps_its_baseline_and_rolls_back(
     tmp_path: Path, step: RolloutStep
 ) -> None:
-    """Started again it took the affected cell for the baseline; killed while it restored it left the rest."""
+    """A resumed rollout must neither measure a new baseline in the affected cell nor skip the rollback.
+
+    Both happened: after a restart, the affected cell's counts became the baseline, and a runner killed during
+    the rollback left the other replicas updated.
+    """
     (tmp_path / "renewed").write_text("b1\n")
     site = RolloutSite(tmp_path, faulty=("b1",))
     killed = msgspec.structs.replace(
@@ -129,22 +133,22 @@
     assert "c1" not in site.updated()
 
 
-def test_while_a_governor_is_silent_no_further_cell_is_begun(tmp_path: Path) -> None:
+def test_the_next_cell_is_not_updated_while_a_governor_does_not_answer(tmp_path: Path) -> None:
     site = RolloutSite(tmp_path)
 
-    def was_held() -> bool:
+    def has_waited() -> bool:
         return any("a governor does not answer" in message for message in site.messages)
 
-    site.is_governor_silent = lambda: "a2" in site.updated() and not was_held()
+    site.is_governor_silent = lambda: "a2" in site.updated() and not has_waited()
 
     assert site.run(site.rollout()).step is RolloutStep.DONE
 
-    held = next(n for n, message in enumerate(site.messages) if "a governor does not answer" in message)
+    wait = next(n for n, message in enumerate(site.messages) if "a governor does not answer" in message)
     next_cell = next(n for n, message in enumerate(site.messages) if "B: updating b1" in message)
-    assert held < next_cell
+    assert wait < next_cell
 
 
-def test_a_replica_that_does_not_return_halts_the_rollout(tmp_path: Path) -> None:
+def test_a_replica_that_does_not_become_ready_again_halts_the_rollout(tmp_path: Path) -> None:
     site = RolloutSite(tmp_path, returns=False)
 
     ended = site.run(site.rollout())
@@ -156,21 +160,21 @@
 @pytest.mark.parametrize(
     ("command", "code"), [("/bin/sh -c 'exit 3'", 3), ("/no/such/command {worker}", 127)]
 )
-def test_a_command_that_fails_halts_the_rollout(tmp_path: Path, command: str, code: int) -> None:
+def test_a_failed_command_halts_the_rollout(tmp_path: Path, command: str, code: int) -> None:
     site = RolloutSite(tmp_path, returns=False)
     rollout = Rollout(id="000002", cells=("A",), replicas=REPLICAS_BY_CELL, batch_size=1, command=command)
 
     assert site.run(rollout).halt_reason == f"the command for a1 exited with code {code}"
 
 
-def test_killed_after_any_record_it_goes_on_where_it_was(
+def test_a_rollout_can_be_resumed_from_its_records(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     records: list[Rollout] = []
     with monkeypatch.context() as patch:
         patch.setattr(rollout_module, "save_rollout", lambda folder, record: records.append(record))
-        whole = RolloutSite(tmp_path)
-        whole.run(whole.rollout())
+        complete = RolloutSite(tmp_path)
+        complete.run(complete.rollout())
     assert len(records) > 12
     for number, record in enumerate(records[::5]):
         folder = tmp_path / str(number)
@@ -179,10 +183,10 @@
 
 
 def check_resumed(folder: Path, record: Rollout) -> None:
-    """A run from this record updates every other replica, and those already updated only once."""
+    """Checks that a run from this record updates the remaining replicas and repeats no completed update."""
     site = RolloutSite(folder)
-    touched = [name for name in ALL_REPLICAS if name in record.started_replicas]
-    (folder / "renewed").write_text("\n".join(touched) + "\n")
+    started = [name for name in ALL_REPLICAS if name in record.started_replicas]
+    (folder / "renewed").write_text("\n".join(started) + "\n")
     save_rollout(folder, record)
     loaded = load_rollout(folder)
     assert loaded == record
@@ -199,9 +203,10 @@
 @pytest.mark.parametrize(
     ("unanswered", "reason"), [(2, "a1 did not come back"), (999, "the roster did not answer")]
 )
-def test_an_endpoint_list_that_is_silent_before_an_update_is_not_taken_for_a_return(
+def test_a_rollout_waits_for_the_endpoint_list_before_an_update(
     tmp_path: Path, unanswered: int, reason: str
 ) -> None:
+    """Without the list from before an update, the old incarnation was taken for the updated replica."""
     site = RolloutSite(tmp_path, returns=False)
     site.unanswered_list_requests = unanswered
 
