--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement of replicas and tenants in cells: balance, churn, what can't be had, and the command line."""
+"""Placement of replicas and tenants in cells: balance, churn, unmet requirements, and the command line."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def make_fleet(replica_count: int, tenant_count: int, seed: int = 1) -> tuple[list[Tenant], list[Replica]]:
-    """Tenants that fill half of the replicas' capacity."""
+    """Returns replicas, and tenants whose demand is half of the replicas' capacity."""
     generator = random.Random(seed)
     replicas = make_replicas(replica_count, generator)
     mean_demand = 0.5 * sum(replica.capacity for replica in replicas) / tenant_count
@@ -40,7 +40,7 @@
 
 
 def utilization_spread(placement: Placement, tenants: Sequence[Tenant], replicas: Sequence[Replica]) -> float:
-    """The most used cell's utilization over the least used one's."""
+    """Returns the ratio of the highest utilization of a cell to the lowest."""
     demand = defaultdict[int, float](float)
     for tenant in tenants:
         demand[placement.tenants[tenant.name]] += tenant.demand
@@ -51,26 +51,26 @@
     return max(utilization) / min(utilization)
 
 
-def test_cells_are_balanced_and_stand_in_every_zone_they_can() -> None:
+def test_cells_are_balanced_and_have_replicas_in_every_zone() -> None:
     tenants, replicas = make_fleet(60, 600)
 
-    found = plan_placement(
+    placement = plan_placement(
         tenants, replicas, PlacementRequirements(cell_count=10, min_replicas=4, min_zones=3)
     )
 
-    assert not found.unmet_requirements
-    assert len(found.replicas) == 60
-    assert len(found.tenants) == 600
+    assert not placement.unmet_requirements
+    assert len(placement.replicas) == 60
+    assert len(placement.tenants) == 600
     for cell in range(10):
-        members = [replica for replica in replicas if found.replicas[replica.name] == cell]
+        members = [replica for replica in replicas if placement.replicas[replica.name] == cell]
         assert {replica.zone for replica in members} == set(ZONES)
         assert len(members) >= 4
-    assert utilization_spread(found, tenants, replicas) < 1.05
+    assert utilization_spread(placement, tenants, replicas) < 1.05
 
 
 @settings(deadline=None, max_examples=40)
 @given(st.integers(0, 10**6), st.integers(2, 6), st.integers(10, 40))
-def test_churn_stays_under_the_bound_and_the_order_of_input_has_no_effect(
+def test_churn_is_bounded_and_the_order_of_the_input_has_no_effect(
     seed: int, cell_count: int, replica_count: int
 ) -> None:
     tenants, replicas = make_fleet(replica_count, 60, seed)
@@ -81,7 +81,7 @@
     shuffled_tenants = generator.sample(tenants, len(tenants))
     shuffled_replicas = generator.sample(replicas, len(replicas))
     assert plan_placement(shuffled_tenants, shuffled_replicas, requirements) == first
-    assert plan_placement(tenants, replicas, requirements, first) == first  # nothing moves without a cause
+    assert plan_placement(tenants, replicas, requirements, first) == first  # the same input moves nothing
 
     added = Replica(name="new", zone="x", kind="k", capacity=1.0)
     larger = plan_placement(tenants, [*replicas, added], requirements, first)
@@ -95,7 +95,7 @@
 
 
 def check_churn_of_removal(first: Placement, smaller: Placement, removed: Replica) -> None:
-    """One other replica moves at most, and tenants leave only cells that lost a replica."""
+    """Checks that at most one other replica moves, and that tenants leave only cells that lost a replica."""
     moved_replicas = [name for name, cell in smaller.replicas.items() if cell != first.replicas[name]]
     assert len(moved_replicas) <= 1
     moved_tenants = [name for name, cell in smaller.tenants.items() if cell != first.tenants[name]]
@@ -103,57 +103,56 @@
     assert {first.tenants[name] for name in moved_tenants} <= smaller_cells
 
 
-def test_most_tenants_live_where_their_hash_says() -> None:
+def test_most_tenants_are_placed_in_the_cell_that_their_hash_selects() -> None:
     tenants, replicas = make_fleet(500, 10_000)
 
-    found = plan_placement(
+    placement = plan_placement(
         tenants, replicas, PlacementRequirements(cell_count=100, min_replicas=4, min_zones=3)
     )
 
-    exceptions = [name for name, cell in found.tenants.items() if cell != home_cell(name, range(100), {})]
-    assert len(exceptions) < 800  # proxies are notified of these alone
-    assert utilization_spread(found, tenants, replicas) < 1.05
+    exceptions = [name for name, cell in placement.tenants.items() if cell != home_cell(name, range(100), {})]
+    assert len(exceptions) < 800  # only the exceptions are sent to proxies
+    assert utilization_spread(placement, tenants, replicas) < 1.05
 
 
-def test_the_odd_replicas_of_each_zone_do_not_gather_in_one_cell() -> None:
+def test_the_odd_replicas_of_the_zones_go_to_different_cells() -> None:
     replicas = [
         Replica(name=f"w{n}", zone=ZONES[n % 3], kind="k", capacity=1 + n % 5 / 100) for n in range(12)
     ]
 
-    found = plan_placement([Tenant("t", 1.0)], replicas, THREE_CELLS)
+    placement = plan_placement([Tenant("t", 1.0)], replicas, THREE_CELLS)
 
-    assert sorted(Counter(found.replicas.values()).values()) == [4, 4, 4]
+    assert sorted(Counter(placement.replicas.values()).values()) == [4, 4, 4]
 
 
-def test_a_tenant_that_no_cell_can_take_is_named() -> None:
+def test_a_tenant_that_fits_into_no_cell_is_reported() -> None:
     tenants, replicas = make_fleet(12, 20)
 
-    found = plan_placement([*tenants, Tenant("giant", 99.0)], replicas, THREE_CELLS)
+    unmet = plan_placement([*tenants, Tenant("giant", 99.0)], replicas, THREE_CELLS).unmet_requirements
 
-    assert any(
-        "tenant giant has a demand of 99" in x and "split the tenant" in x for x in found.unmet_requirements
-    )
-    assert any("load" in x and "exceeds capacity" in x for x in found.unmet_requirements)
+    assert any("tenant giant has a demand of 99" in text and "split the tenant" in text for text in unmet)
+    assert any("load" in text and "exceeds capacity" in text for text in unmet)
 
 
-def test_cells_that_lack_a_zone_are_named() -> None:
+def test_cells_with_too_few_zones_are_reported() -> None:
     tenants, _ = make_fleet(12, 20)
     one_zone = [Replica(name=f"w{n}", zone="x", kind="k", capacity=1.0) for n in range(6)]
 
-    found = plan_placement(tenants, one_zone, THREE_CELLS)
+    unmet = plan_placement(tenants, one_zone, THREE_CELLS).unmet_requirements
 
-    assert len([x for x in found.unmet_requirements if "in 1 zones but needs 2 in 2" in x]) == 3
+    assert len([text for text in unmet if "in 1 zones but needs 2 in 2" in text]) == 3
 
 
-def test_a_tenant_that_would_fill_most_of_any_cell_is_named() -> None:
+def test_a_tenant_that_would_use_most_of_any_cell_is_reported() -> None:
     _, replicas = make_fleet(12, 20)
+    tenants = [Tenant("large", 2.0), Tenant("small", 0.1)]
 
-    found = plan_placement([Tenant("large", 2.0), Tenant("small", 0.1)], replicas, PlacementRequirements(3))
+    unmet = plan_placement(tenants, replicas, PlacementRequirements(3)).unmet_requirements
 
-    assert any("over 50%" in x for x in found.unmet_requirements)
+    assert any("over 50%" in text for text in unmet)
 
 
-def test_a_name_that_stands_twice_and_too_few_replicas_are_rejected() -> None:
+def test_duplicate_names_and_too_few_replicas_are_rejected() -> None:
     tenants, replicas = make_fleet(12, 20)
     requirements = PlacementRequirements(3)
 
@@ -165,7 +164,7 @@
         plan_placement([tenants[0], *tenants], replicas, requirements)
 
 
-def test_a_cell_that_has_to_survive_the_loss_of_a_zone_takes_less() -> None:
+def test_a_cell_that_has_to_survive_the_loss_of_a_zone_has_less_capacity() -> None:
     tenants, replicas = make_fleet(30, 100)
     five_cells = PlacementRequirements(cell_count=5, min_replicas=3, min_zones=3)
     assert not plan_placement(tenants, replicas, five_cells).unmet_requirements
@@ -174,11 +173,11 @@
     more = [Tenant(tenant.name, tenant.demand * 1.3) for tenant in tenants]
     unmet = plan_placement(more, replicas, surviving).unmet_requirements
     assert unmet
-    assert all("exceeds capacity" in x for x in unmet)
+    assert all("exceeds capacity" in text for text in unmet)
 
 
 class PlacementCommand:
-    """`gradehoist cells` over files of a folder."""
+    """Runs `gradehoist cells` with files in a folder."""
 
     def __init__(self, folder: Path, replica_count: int) -> None:
         self.tenants = folder / "t.csv"
@@ -202,13 +201,13 @@
 
 @pytest.fixture
 def command(tmp_path: Path) -> PlacementCommand:
-    """Nine replicas and twenty tenants."""
-    found = PlacementCommand(tmp_path, replica_count=9)
-    found.tenants.write_text("tenant,demand\n" + "".join(f"inn{n},0.1\n" for n in range(20)))
-    return found
+    """The command with files of nine replicas and twenty tenants."""
+    cells = PlacementCommand(tmp_path, replica_count=9)
+    cells.tenants.write_text("tenant,demand\n" + "".join(f"inn{n},0.1\n" for n in range(20)))
+    return cells
 
 
-def test_a_placement_is_made_kept_and_shown_from_the_command_line(command: PlacementCommand) -> None:
+def test_a_placement_is_created_kept_and_shown_from_the_command_line(command: PlacementCommand) -> None:
     assert command.place("--cells", "3").exit_code == 0
     first = command.placement.read_bytes()
     assert command.place("--cells", "3", "--before", command.placement).exit_code == 0
@@ -219,22 +218,24 @@
     assert "w8" in shown.output
 
 
-def test_requirements_that_cannot_be_met_end_the_command_with_1(command: PlacementCommand) -> None:
-    found = command.place("--cells", "3", "--least-workers", "5")
+def test_unmet_requirements_give_exit_code_1(command: PlacementCommand) -> None:
+    result = command.place("--cells", "3", "--least-workers", "5")
 
-    assert found.exit_code == 1
-    assert "needs 5 in 1" in found.output
+    assert result.exit_code == 1
+    assert "needs 5 in 1" in result.output
 
 
-def test_unusable_input_ends_the_command_with_2_and_leaves_the_placement(command: PlacementCommand) -> None:
+def test_invalid_input_gives_exit_code_2_and_leaves_the_placement_unchanged(
+    command: PlacementCommand,
+) -> None:
     assert command.place("--cells", "3").exit_code == 0
-    kept = command.placement.read_bytes()
+    before = command.placement.read_bytes()
 
     command.tenants.write_text("tenant,demand\ninn1,-4\n")
     negative = command.place("--cells", "3")
     assert negative.exit_code == 2
     assert "t.csv:2: demand" in negative.output
-    assert command.placement.read_bytes() == kept
+    assert command.placement.read_bytes() == before
 
     command.tenants.write_text("name,demand\n")
     assert "no column tenant" in command.place("--cells", "3").output
@@ -250,24 +251,24 @@
 
 @pytest.fixture
 def split_command(tmp_path: Path) -> PlacementCommand:
-    """Twelve replicas in two cells."""
-    found = PlacementCommand(tmp_path, replica_count=12)
-    found.placement.write_bytes(msgspec.json.encode(SPLIT_BASE))
-    return found
+    """The command with a placement of twelve replicas in two cells."""
+    cells = PlacementCommand(tmp_path, replica_count=12)
+    cells.placement.write_bytes(msgspec.json.encode(SPLIT_BASE))
+    return cells
 
 
-def test_a_split_halves_the_replicas_and_leaves_every_tenant_where_it_is(
+def test_a_split_halves_the_replicas_of_a_cell_and_moves_no_tenant(
     split_command: PlacementCommand,
 ) -> None:
     assert split_command.split("b", "c").exit_code == 0
 
-    found: CellPlacement = msgspec.json.decode(split_command.split_placement.read_bytes(), type=CellPlacement)
-    assert found.cells == ("a", "b", "c")
-    assert len(found.replicas_of("b")) == len(found.replicas_of("c")) == 3
+    split: CellPlacement = msgspec.json.decode(split_command.split_placement.read_bytes(), type=CellPlacement)
+    assert split.cells == ("a", "b", "c")
+    assert len(split.replicas_of("b")) == len(split.replicas_of("c")) == 3
     for cell in "bc":
-        assert {int(name[1:]) % 3 for name in found.replicas_of(cell)} == {0, 1, 2}  # in every zone
+        assert {int(name[1:]) % 3 for name in split.replicas_of(cell)} == {0, 1, 2}  # in every zone
     names = [f"inn{n}" for n in range(500)]
-    assert [found.home_cell(name) for name in names] == [SPLIT_BASE.home_cell(name) for name in names]
+    assert [split.home_cell(name) for name in names] == [SPLIT_BASE.home_cell(name) for name in names]
 
 
 def test_a_split_of_unknown_cells_or_replicas_is_rejected(split_command: PlacementCommand) -> None:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -167,9 +167,7 @@
     assert site.run(rollout).halt_reason == f"the command for a1 exited with code {code}"
 
 
-def test_a_rollout_can_be_resumed_from_its_records(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_rollout_can_be_resumed_from_its_records(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     records: list[Rollout] = []
     with monkeypatch.context() as patch:
         patch.setattr(rollout_module, "save_rollout", lambda folder, record: records.append(record))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,7 +1,8 @@
-"""Settings: every error at once, each with file, line, path of nodes and remedy."""
+"""Settings: all errors are reported together, each with its file, line, path of nodes and remedy."""
 
 from __future__ import annotations
 
+import re
 from pathlib import Path
 
 import pytest
@@ -14,10 +15,12 @@
 from gradehoist.settings.reader import SettingsError
 
 ROOT = Path(__file__).parent.parent
-GOOD = (ROOT / "deploy" / "example.kdl").read_text()
+EXAMPLE = ROOT / "deploy" / "example.kdl"
+VALID_SETTINGS = EXAMPLE.read_text()
 
 
-def errors(tmp_path: Path, text: str | bytes) -> list[str]:
+def read_errors(tmp_path: Path, text: str | bytes) -> list[str]:
+    """Returns the errors of a settings file with this text, without the name of the file."""
     path = tmp_path / "s.kdl"
     path.write_bytes(text.encode() if isinstance(text, str) else text)
     with pytest.raises(SettingsError) as caught:
@@ -26,14 +29,13 @@
     return [line.removeprefix(str(path)) for line in caught.value.lines]
 
 
-def test_the_example_is_in_order() -> None:
-    found = read_settings(ROOT / "deploy" / "example.kdl")
-    assert (
-        found.governor("b").listen_address == ("127.0.0.1", 7102)
-        and found.fleet.classes[1].latency_objective_us == 2_000_000
-    )
+def test_the_example_is_valid() -> None:
+    settings = read_settings(EXAMPLE)
+
+    assert settings.governor("b").listen_address == ("127.0.0.1", 7102)
+    assert settings.fleet.classes[1].latency_objective_us == 2_000_000
     with pytest.raises(KeyError):
-        found.governor("c")
+        settings.governor("c")
 
 
 @pytest.mark.parametrize(
@@ -65,49 +67,63 @@
         ('zones "hall-a" "hall-b"', 'zones "hall-a" 3', ":3: fleet > zones"),
     ],
 )
-def test_an_error_names_its_place_and_remedy(tmp_path: Path, old: str, new: str, expected: str) -> None:
-    assert old in GOOD
-    found = errors(tmp_path, GOOD.replace(old, new))
-    assert any(line.startswith(expected) for line in found), found
-    assert all("; " in line for line in found)
-
-
-def test_all_errors_come_at_once_and_syntax_with_line_and_column(tmp_path: Path) -> None:
-    text = GOOD.replace('goal="1s"', "goal=1").replace("line-rate=3500", "line-rate=-1")
-    assert len(errors(tmp_path, text)) == 2
-    (syntax,) = errors(tmp_path, GOOD.replace('zones "hall-a"', 'zones "hall-a'))
-    assert syntax.startswith(":") and "not KDL 1" in syntax
-    assert errors(tmp_path, b"\xff\xfe")[0].startswith(": can't be read: not UTF-8")
-
-
-def test_bad_use_and_bad_settings_exit_2_with_one_clear_line(tmp_path: Path) -> None:
-    bad = tmp_path / "bad.kdl"
-    bad.write_text(GOOD.replace("relays=15", "relays=-1"))
-    example = str(ROOT / "deploy" / "example.kdl")
-    for arguments, part in (
+def test_an_error_contains_its_position_and_remedy(tmp_path: Path, old: str, new: str, expected: str) -> None:
+    assert old in VALID_SETTINGS
+
+    errors = read_errors(tmp_path, VALID_SETTINGS.replace(old, new))
+
+    assert any(line.startswith(expected) for line in errors), errors
+    assert all("; " in line for line in errors)
+
+
+def test_all_errors_are_reported_together(tmp_path: Path) -> None:
+    text = VALID_SETTINGS.replace('goal="1s"', "goal=1").replace("line-rate=3500", "line-rate=-1")
+
+    assert len(read_errors(tmp_path, text)) == 2
+
+
+def test_a_syntax_error_is_reported_with_its_line_and_column(tmp_path: Path) -> None:
+    (syntax,) = read_errors(tmp_path, VALID_SETTINGS.replace('zones "hall-a"', 'zones "hall-a'))
+
+    assert re.match(r":\d+:\d+: not KDL 1", syntax)
+
+
+def test_a_file_that_is_not_utf_8_is_reported(tmp_path: Path) -> None:
+    assert read_errors(tmp_path, b"\xff\xfe")[0].startswith(": can't be read: not UTF-8")
+
+
+def test_invalid_arguments_and_settings_give_exit_code_2_and_a_message(tmp_path: Path) -> None:
+    invalid = tmp_path / "bad.kdl"
+    invalid.write_text(VALID_SETTINGS.replace("relays=15", "relays=-1"))
+    for arguments, message in (
         (["check", str(tmp_path / "none.kdl")], "can't be read"),
-        (["check", str(bad)], "fleet > relays"),
-        (["governor", example, "--name", "z"], "no governor 'z'"),
+        (["check", str(invalid)], "fleet > relays"),
+        (["governor", str(EXAMPLE), "--name", "z"], "no governor 'z'"),
         (["audit", str(tmp_path)], "no run is here"),
-        (["day", str(bad)], "scene"),
-        (["scenario", str(bad)], "scene"),
+        (["day", str(invalid)], "scene"),
+        (["scenario", str(invalid)], "scene"),
     ):
         result = CliRunner().invoke(main, arguments)
-        assert result.exit_code == 2 and part in result.output, result.output
-    assert CliRunner().invoke(main, ["check", example]).exit_code == 0
+        assert result.exit_code == 2, result.output
+        assert message in result.output, result.output
+    assert CliRunner().invoke(main, ["check", str(EXAMPLE)]).exit_code == 0
 
 
-SCENES = [
+SCENARIOS = [
     *sorted((ROOT / "scenarios").glob("*.kdl")),
     *sorted((ROOT / "scenarios/faults").glob("*.kdl")),
     *sorted((ROOT / "scenarios/cells").glob("*.kdl")),
 ]
 
 
-@pytest.mark.parametrize("path", SCENES, ids=lambda p: p.stem)
-def test_every_scene_reads_and_draws_the_same_day_for_a_seed(path: Path) -> None:
-    found = read_scenario(path)
-    one, two = build_plan(found, 5), build_plan(found, 5)
-    assert one.steps == two.steps and one.steps and one.requests_per_s == two.requests_per_s
-    assert [r.speed for r in one.replicas] == [r.speed for r in two.replicas]
-    assert one.steps != build_plan(found, 6).steps or len(found.faults) < 2
+@pytest.mark.parametrize("path", SCENARIOS, ids=lambda path: path.stem)
+def test_a_seed_gives_the_same_plan_of_a_scenario_each_time(path: Path) -> None:
+    scenario = read_scenario(path)
+
+    plan, same_plan, other_plan = build_plan(scenario, 5), build_plan(scenario, 5), build_plan(scenario, 6)
+
+    assert plan.steps
+    assert plan.steps == same_plan.steps
+    assert plan.requests_per_s == same_plan.requests_per_s
+    assert [replica.speed for replica in plan.replicas] == [replica.speed for replica in same_plan.replicas]
+    assert plan.steps != other_plan.steps or len(scenario.faults) < 2
