--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated governor and its proxies with cells."""
+"""A simulated governor with cells, and its proxies."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def fleet_with_cells(
     cell_count: int, proxy_count: int, replica_count: int, queue: int = 40_000, rate: int = 20_000
 ) -> GovernedFleet:
-    """Cells that hold pairs of replicas in turn; the tenant "big" lives in `c1`."""
-    found = GovernedFleet(
+    """Returns a fleet whose replicas are assigned to the cells in pairs; the tenant "big" lives in `c1`."""
+    fleet = GovernedFleet(
         proxy_count=proxy_count, replica_count=replica_count, queue_limit_lines=queue, lines_per_s=rate
     )
     cells = tuple(f"c{n}" for n in range(cell_count))
@@ -21,7 +21,7 @@
         cell_by_replica={f"w{n}": cells[n // 2 % cell_count] for n in range(replica_count)},
         cell_by_tenant={"big": "c1"},
     )
-    fleet = dataclasses.replace(found.settings.fleet, placement=placement)
-    found.settings = dataclasses.replace(found.settings, fleet=fleet)
-    found.start_governor("cells")
-    return found
+    fleet_settings = dataclasses.replace(fleet.settings.fleet, placement=placement)
+    fleet.settings = dataclasses.replace(fleet.settings, fleet=fleet_settings)
+    fleet.start_governor("cells")
+    return fleet
--- a/tests/support/stored_records.py
+++ b/tests/support/stored_records.py
@@ -1,7 +1,7 @@
-"""Records as the test doubles of a scenario run store them, for tests of the checkers.
+"""Builds records like those that the test doubles of a scenario run store, for tests of the checkers.
 
-Keys and events are those of the stored data. Times are in seconds after `BEGIN_US`; the proxy is `r1` and its
-governor `a`, unless a test says otherwise.
+Keys and event names are those of the stored data. Times are in seconds after `BEGIN_US`. The proxy is `r1`
+and its governor is `a`.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 PLAN = build_plan(read_scenario(SCENARIOS / "short.kdl"), 1)
 RULES = PLAN.rules
 GRACE_S = RULES.drain_grace_us / SECOND_US
-W1 = "w1"  # of hall-a
-W4 = "w4"  # of hall-b
+W1 = "w1"  # a replica in hall-a
+W4 = "w4"  # a replica in hall-b
 PROXIES = "relays-hall-a"
 REPLICAS = "replicas-hall-a"
 
 
 @dataclass(frozen=True)
 class Work:
-    """The work of an attempt, and how warm the replica is in which incarnation."""
+    """The work of an attempt, and the warmth and incarnation of the replica that receives it."""
 
     work_ms: float
     warmth: float
@@ -42,25 +42,25 @@
 
 
 def stored(at_s: float, event: str, role: str, **fields: Any) -> StoredRecord:
-    """A record of the process `role`."""
+    """Returns a record of an event in the process `role`."""
     return {"t": BEGIN_US + round(at_s * SECOND_US), "e": event, "role": role, **fields}
 
 
 def notified(at_s: float, endpoints: dict[str, tuple[str, int]], is_snapshot: bool = False) -> StoredRecord:
-    """The governor is notified of phases and incarnations by replica."""
+    """The governor is notified of the phase and incarnation of each replica in `endpoints`."""
     entries = {replica: list(entry) for replica, entry in endpoints.items()}
     return stored(at_s, "told", "roster", reader="a", whole=is_snapshot, version=1, entries=entries)
 
 
 def notified_of_all(at_s: float, phase: str, incarnation: int = 1, is_snapshot: bool = False) -> StoredRecord:
-    """The governor is notified of the same phase for every replica."""
+    """The governor is notified of the same phase and incarnation for all replicas."""
     return notified(at_s, {replica.name: (phase, incarnation) for replica in PLAN.replicas}, is_snapshot)
 
 
 def applied(
     at_s: float, seq: int, *deltas: feed.Delta, created_s: float | None = None, reply: int = 0
 ) -> StoredRecord:
-    """The proxy applies a message, which was created 0.1 s earlier if nothing else is said."""
+    """The proxy applies a message, which was created 0.1 s earlier unless `created_s` is given."""
     cost_lines = RULES.message_overhead_lines + len(deltas)
     cost_lines += sum(len(delta.weights) for delta in deltas if isinstance(delta, feed.BindDelta))
     if created_s is None:
@@ -96,7 +96,7 @@
 
 
 def started_run() -> list[StoredRecord]:
-    """A proxy with a stream and weights for W1 and W4, and a governor that knows every replica as ready."""
+    """A proxy has a stream and weights for W1 and W4; its governor knows all replicas as ready."""
     weights = {W1: 1.0, W4: 1.0}
     tables = {request_class.name: weights for request_class in PLAN.classes}
     return [
@@ -129,7 +129,7 @@
 
 
 def arrived(at_s: float, request: str, replica: str, work: Work) -> StoredRecord:
-    """A replica reads an attempt."""
+    """A replica receives an attempt."""
     return stored(
         at_s,
         "arrive",
@@ -144,23 +144,23 @@
 
 
 def effect(at_s: float, request: str, replica: str, **write: Any) -> StoredRecord:
-    """A request takes effect; the write of a tenant names `tenant`, `cell` and `gen`."""
+    """A request takes effect; for a tenant's write, `write` contains `tenant`, `cell` and `gen`."""
     return stored(at_s, "effect", REPLICAS, replica=replica, tx=request, **write)
 
 
 def ended(at_s: float, plan: Plan = PLAN) -> list[StoredRecord]:
-    """Every process ends in order."""
+    """All processes end normally."""
     return [stored(at_s, "ended", role) for role in plan.control_ports]
 
 
 def check_stored(plan: Plan, records: list[StoredRecord]) -> Verdict:
-    """The verdict on records in any order."""
+    """Returns the verdict on records, which may be in any order."""
     parsed = [parse_record(record, record["role"]) for record in records]
     return check_records(plan, sorted(parsed, key=lambda record: record.time_us))
 
 
 def check_complete(*records: StoredRecord, plan: Plan = PLAN) -> dict[str, RuleResult]:
-    """The results by rule for a run of 30 s in which every process ended in order."""
+    """Returns the result of each rule for a run of 30 s in which all processes ended normally."""
     verdict = check_stored(plan, [*records, *ended(30, plan)])
     assert verdict.is_complete
     return {result.rule: result for result in verdict.results}
