--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,8 @@
-"""What the version at commit 88767ee stored is read by this one: a sample of each kind lies in `tests/data/`.
+"""Compatibility with data stored by the version at commit 88767ee, of which `tests/data/` holds samples.
 
-`tests/data/README.md` says how the samples were made. Tests that open one for writing work on a copy. Keys,
-file names and words that are spelled out here are those of the stored data; they stay when code is renamed.
+`tests/data/README.md` describes how the samples were made. Tests that write to a sample work on a copy. The
+keys, file names and enum values written out here are those of the stored data and do not change when code is
+renamed.
 """
 
 from __future__ import annotations
@@ -10,6 +11,7 @@
 import contextlib
 import shutil
 import time
+from collections import Counter
 from collections.abc import AsyncIterator, Callable, Coroutine, Iterator
 from pathlib import Path
 from typing import Any
@@ -21,21 +23,20 @@
 from gradehoist.capacity_planning.plan import CapacityPlan, PlannedCase, ServedRate
 from gradehoist.cells.assignment import AssignmentAck, TenantAssignment
 from gradehoist.cells.migration import Migration, MigrationStep
-from gradehoist.cells.rollout import Rollout, TrafficCounts
-from gradehoist.cells.rollout import RolloutStep as ReleaseStep
+from gradehoist.cells.rollout import Rollout, RolloutStep, TrafficCounts
 from gradehoist.cli.main import main
-from gradehoist.cli.placement_files import load_placement as read_placement
+from gradehoist.cli.placement_files import load_placement
 from gradehoist.cli.plan import load_plan
 from gradehoist.coordination.election import LeaderElection
 from gradehoist.coordination.fencing import FencingToken
-from gradehoist.coordination.members import ReachabilityReport as MembersView
+from gradehoist.coordination.members import ReachabilityReport
 from gradehoist.coordination.participant import Participant
 from gradehoist.coordination.records import MemberRecord, OwnershipRecord, ProcessIdentity
 from gradehoist.coordination.store import CommitRejected, Committed, Put
 from gradehoist.governor.service import GovernorService
 from gradehoist.history import linearizability, records
 from gradehoist.history.exactly_once import find_duplicate_effects, find_fencing_violations
-from gradehoist.migration import rollout as releasing
+from gradehoist.migration import rollout as rollout_module
 from gradehoist.migration.planning import pending_migrations
 from gradehoist.migration.records import (
     load_draining_cells,
@@ -52,13 +53,12 @@
 from gradehoist.scenario.checks.run_check import check_run_folder
 from gradehoist.scenario.checks.verdict import Verdict
 from gradehoist.scenario.free_ports import find_free_ports
-from gradehoist.settings import reader
 from gradehoist.settings.fleet import CellPlacement
 from gradehoist.settings.fleet_parser import parse_settings
+from gradehoist.settings.reader import SettingsReader
 from gradehoist.store.sqlite_store import SqliteStore
-from gradehoist.testbed import scenario_plan as scripted
-from gradehoist.zones.evacuation import EvacuationPlan as ZonesPlan
-from gradehoist.zones.evacuation import ZoneEvacuation
+from gradehoist.testbed import scenario_plan
+from gradehoist.zones.evacuation import EvacuationPlan, ZoneEvacuation
 from gradehoist.zones.health import HealthReport, PlanVersion, ZoneObservation
 from gradehoist.zones.warmup_quota import QuotaAllocation
 from tests.support.migration_site import MigrationSite
@@ -72,7 +72,7 @@
 
 @pytest.fixture
 def sample(tmp_path: Path) -> Sample:
-    """Copies a folder of samples, so that what opens it may write there."""
+    """A function that copies a folder of samples, so that a test may write to it, and returns the copy."""
 
     def copy(name: str) -> Path:
         return Path(shutil.copytree(DATA / name, tmp_path / name))
@@ -80,26 +80,28 @@
     return copy
 
 
-def command(*words: str | Path) -> Result:
-    return CliRunner().invoke(main, [str(word) for word in words])
+def run_command(*arguments: str | Path) -> Result:
+    """Runs `gradehoist` with these arguments."""
+    return CliRunner().invoke(main, [str(argument) for argument in arguments])
 
 
-def within_a_minute(work: Coroutine[Any, Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(work, 60))
+def run_async(coroutine: Coroutine[Any, Any, None]) -> None:
+    """Runs a coroutine for up to a minute."""
+    asyncio.run(asyncio.wait_for(coroutine, 60))
 
 
-# The register
+# The coordination store in a folder
 
-LINEAGE = "07158ab795f3"
+STORE_ID = "07158ab795f3"
 REVISION = 15
 SESSION_A, SESSION_B = "9584375618334edc", "18b3cf3527a240cc"
-A_IS_HERE = MemberRecord(
+MEMBER_A = MemberRecord(
     role="governor", name="a", zone="hall-a", incarnation="a-second", generation=2, address="127.0.0.1:7101"
 )
-B_IS_HERE = MemberRecord(
+MEMBER_B = MemberRecord(
     role="governor", name="b", zone="hall-b", incarnation="b-first", generation=1, address="127.0.0.1:7102"
 )
-ZONES_SEEN_BY_A = HealthReport(
+HEALTH_REPORT_A = HealthReport(
     zone="hall-a",
     requests_per_s=12.5,
     list_age_us=400_000,
@@ -130,11 +132,11 @@
     applied_plan=PlanVersion(1, 2),
     applied_allocation=3,
 )
-# By key: the version, the commit that wrote it, the session that it goes with, and what it says.
-REGISTER: dict[str, tuple[int, str, str, Any]] = {
+# By key: the version, the commit that wrote it, the session that it belongs to, and its value.
+STORED_RECORDS: dict[str, tuple[int, str, str, Any]] = {
     "floors": (4, "a-second:1", "", {"rights/release": 6}),
-    "members/governor/a": (4, "a-second:1", SESSION_A, A_IS_HERE),
-    "members/governor/b": (5, "b-first:1", SESSION_B, B_IS_HERE),
+    "members/governor/a": (4, "a-second:1", SESSION_A, MEMBER_A),
+    "members/governor/b": (5, "b-first:1", SESSION_B, MEMBER_B),
     "names/governor/a": (
         4,
         "a-second:1",
@@ -153,12 +155,12 @@
         "",
         OwnershipRecord(generation=1, holder="a-second", member_key="members/governor/a"),
     ),
-    "views/governor/a": (12, "a-second:6", SESSION_A, MembersView()),
+    "views/governor/a": (12, "a-second:6", SESSION_A, ReachabilityReport()),
     "views/governor/b": (
         11,
         "b-first:3",
         SESSION_B,
-        MembersView(unreachable=("members/governor/c",), is_isolated=True),
+        ReachabilityReport(unreachable=("members/governor/c",), is_isolated=True),
     ),
     "zones/deal": (
         8,
@@ -175,7 +177,7 @@
         7,
         "a-second:3",
         "",
-        ZonesPlan(
+        EvacuationPlan(
             generation=1,
             leader="a-second",
             step=2,
@@ -187,7 +189,7 @@
             admission_limits={"rate-check": 0.8},
         ),
     ),
-    "zones/views/a": (9, "a-second:5", SESSION_A, ZONES_SEEN_BY_A),
+    "zones/views/a": (9, "a-second:5", SESSION_A, HEALTH_REPORT_A),
     "zones/views/b": (
         10,
         "b-first:2",
@@ -201,120 +203,124 @@
         ),
     ),
 }
-STRANGE = "zones/views/strange"  # bytes that are no record, at version 13
+MALFORMED_KEY = "zones/views/strange"  # the key of a record whose value cannot be decoded, at version 13
 
 
 @contextlib.asynccontextmanager
-async def opened(folder: Path) -> AsyncIterator[SqliteStore]:
-    register = SqliteStore(folder)
+async def open_store(folder: Path) -> AsyncIterator[SqliteStore]:
+    store = SqliteStore(folder)
     try:
-        yield register
+        yield store
     finally:
-        await register.close()
+        await store.close()
 
 
 @contextlib.asynccontextmanager
-async def joined(folder: Path, name: str, run: str) -> AsyncIterator[tuple[Participant, CoordinationClient]]:
-    """A process that has joined the register in `folder`, with its copy of all records."""
-    agent = Participant(
-        ProcessIdentity("governor", name, "hall-a", run, "127.0.0.1:7103"), 10 * SECOND, seed=1
-    )
-    coordinator = CoordinationClient(agent, SqliteStore(folder), lambda news: None)
-    running = asyncio.create_task(coordinator.run())
+async def join(
+    folder: Path, name: str, incarnation: str
+) -> AsyncIterator[tuple[Participant, CoordinationClient]]:
+    """Lets a process join the fleet of the store in `folder`; its watch cache holds all records."""
+    identity = ProcessIdentity("governor", name, "hall-a", incarnation, "127.0.0.1:7103")
+    participant = Participant(identity, 10 * SECOND, seed=1)
+    client = CoordinationClient(participant, SqliteStore(folder), lambda notifications: None)
+    running = asyncio.create_task(client.run())
     try:
-        while not agent.is_joined:
+        while not participant.is_joined:
             await asyncio.sleep(0.02)
-        yield agent, coordinator
+        yield participant, client
     finally:
-        await coordinator.leave(running)
-
-
-def test_a_register_folder_has_its_records_with_versions_writers_and_sessions(sample: Sample) -> None:
-    async def work() -> None:
-        async with opened(sample("register")) as register:
-            snapshot = await register.read("")
-        assert (snapshot.store_id, snapshot.revision) == (LINEAGE, REVISION)
-        found = {record.key: record for record in snapshot.records}
-        strange = found.pop(STRANGE)
-        assert (strange.value, strange.version) == (b"no record of ours", 13)
-        assert list(found) == list(REGISTER)
-        for key, (version, token, session, value) in REGISTER.items():
-            record = found[key]
-            assert (record.version, record.commit_id, record.session_id) == (version, token, session)
+        await client.leave(running)
+
+
+def test_a_store_folder_is_read_with_versions_commit_ids_and_sessions(sample: Sample) -> None:
+    async def check() -> None:
+        async with open_store(sample("register")) as store:
+            snapshot = await store.read("")
+        assert (snapshot.store_id, snapshot.revision) == (STORE_ID, REVISION)
+        records_by_key = {record.key: record for record in snapshot.records}
+        malformed = records_by_key.pop(MALFORMED_KEY)
+        assert (malformed.value, malformed.version) == (b"no record of ours", 13)
+        assert list(records_by_key) == list(STORED_RECORDS)
+        for key, (version, commit_id, session_id, value) in STORED_RECORDS.items():
+            record = records_by_key[key]
+            assert (record.version, record.commit_id, record.session_id) == (version, commit_id, session_id)
             assert msgspec.json.decode(record.value, type=type(value)) == value
             assert msgspec.json.encode(value) == record.value
             assert not record.malformed
 
-    within_a_minute(work())
+    run_async(check())
 
 
-def test_a_watch_of_a_register_folder_begins_in_its_stored_log(sample: Sample) -> None:
-    async def work() -> None:
-        async with opened(sample("register")) as register:
-            batch = await register.watch("", 9, 0)
-        assert (batch.store_id, batch.after_revision, batch.revision) == (LINEAGE, 9, REVISION)
+def test_a_watch_of_a_store_folder_starts_in_its_stored_log(sample: Sample) -> None:
+    async def check() -> None:
+        async with open_store(sample("register")) as store:
+            batch = await store.watch("", 9, 0)
+        assert (batch.store_id, batch.after_revision, batch.revision) == (STORE_ID, 9, REVISION)
         assert [(event.revision, event.key, event.record is not None) for event in batch.events] == [
             (10, "zones/views/b", True),
             (11, "views/governor/b", True),
             (12, "views/governor/a", True),
-            (13, STRANGE, True),
+            (13, MALFORMED_KEY, True),
             (14, "gone/soon", True),
             (15, "gone/soon", False),
         ]
 
-    within_a_minute(work())
-
-
-def test_a_commit_to_a_register_folder_is_checked_against_its_stored_versions(sample: Sample) -> None:
-    async def work() -> None:
-        async with opened(sample("register")) as register:
-            late = await register.commit((Put("floors", b"{}", 3),), "late:1")
-            assert isinstance(late, CommitRejected)
-            assert [(record.key, record.version) for record in late.records] == [("floors", 4)]
-            assert await register.commit((Put("floors", b"{}", 4),), "good:1") == Committed(REVISION + 1)
-
-    within_a_minute(work())
-
-
-def test_stored_sessions_live_on_and_their_records_go_with_them(sample: Sample) -> None:
-    async def work() -> None:
-        async with opened(sample("register")) as register:
-            assert await register.renew_session(SESSION_A) == REVISION
-            assert await register.renew_session(SESSION_B) == REVISION
-            await register.end_session(SESSION_A)
-            snapshot = await register.read("")
-        gone = {key for key, (_, _, session, _) in REGISTER.items() if session == SESSION_A}
-        assert gone == {"members/governor/a", "views/governor/a", "zones/views/a"}
-        assert {record.key for record in snapshot.records} == {*REGISTER, STRANGE} - gone
-
-    within_a_minute(work())
-
-
-def test_an_agent_that_joins_reads_members_rights_and_zones(sample: Sample) -> None:
-    async def work() -> None:
-        async with joined(sample("register"), "c", "c-first") as (agent, _):
-            for key, (version, _, _, value) in REGISTER.items():
-                assert agent.decode_record(key, type(value)) == value
-                assert agent.records.version(key) == version
-            assert agent.decode_record(STRANGE, HealthReport) is None  # it costs itself alone
-            assert agent.fencing_token == FencingToken(1, "c-first")
-            assert agent.records.generation_floors == {"rights/release": 6}
-            assert (agent.next_generation("rights/release"), agent.next_generation("rights/zones")) == (7, 2)
-            claim = LeaderElection("zones", takeover_delay_us=0)
-            claim.advance(time.monotonic_ns() // 1_000, agent)
-            assert claim.fencing_token is None
-            assert not agent.has_pending_commits  # a is there and holds it
-
-    within_a_minute(work())
-
-
-def test_the_next_life_of_a_name_goes_on_from_its_stored_generation(sample: Sample) -> None:
-    async def work() -> None:
-        async with joined(sample("register"), "a", "a-third") as (agent, _):
-            assert agent.fencing_token == FencingToken(3, "a-third")
-            while agent.decode_record("members/governor/a", MemberRecord) == A_IS_HERE:
-                await asyncio.sleep(0.02)  # the copy follows the commit
-            assert agent.decode_record("members/governor/a", MemberRecord) == MemberRecord(
+    run_async(check())
+
+
+def test_a_commit_to_a_store_folder_is_checked_against_the_stored_versions(sample: Sample) -> None:
+    async def check() -> None:
+        async with open_store(sample("register")) as store:
+            rejected = await store.commit((Put("floors", b"{}", 3),), "late:1")
+            assert isinstance(rejected, CommitRejected)
+            assert [(record.key, record.version) for record in rejected.records] == [("floors", 4)]
+            assert await store.commit((Put("floors", b"{}", 4),), "good:1") == Committed(REVISION + 1)
+
+    run_async(check())
+
+
+def test_stored_sessions_can_be_renewed_and_ended(sample: Sample) -> None:
+    async def check() -> None:
+        async with open_store(sample("register")) as store:
+            assert await store.renew_session(SESSION_A) == REVISION
+            assert await store.renew_session(SESSION_B) == REVISION
+            await store.end_session(SESSION_A)
+            snapshot = await store.read("")
+        deleted = {key for key, (_, _, session, _) in STORED_RECORDS.items() if session == SESSION_A}
+        assert deleted == {"members/governor/a", "views/governor/a", "zones/views/a"}
+        assert {record.key for record in snapshot.records} == {*STORED_RECORDS, MALFORMED_KEY} - deleted
+
+    run_async(check())
+
+
+def test_a_process_that_joins_reads_members_ownership_and_zones(sample: Sample) -> None:
+    async def check() -> None:
+        async with join(sample("register"), "c", "c-first") as (participant, _):
+            for key, (version, _, _, value) in STORED_RECORDS.items():
+                assert participant.decode_record(key, type(value)) == value
+                assert participant.records.version(key) == version
+            assert participant.decode_record(MALFORMED_KEY, HealthReport) is None
+            assert participant.fencing_token == FencingToken(1, "c-first")
+            assert participant.records.generation_floors == {"rights/release": 6}
+            assert (
+                participant.next_generation("rights/release"),
+                participant.next_generation("rights/zones"),
+            ) == (7, 2)
+            election = LeaderElection("zones", takeover_delay_us=0)
+            election.advance(time.monotonic_ns() // 1_000, participant)
+            assert election.fencing_token is None
+            assert not participant.has_pending_commits  # governor a is alive and is the leader
+
+    run_async(check())
+
+
+def test_the_next_incarnation_of_a_process_gets_the_generation_after_the_stored_one(sample: Sample) -> None:
+    async def check() -> None:
+        async with join(sample("register"), "a", "a-third") as (participant, _):
+            assert participant.fencing_token == FencingToken(3, "a-third")
+            while participant.decode_record("members/governor/a", MemberRecord) == MEMBER_A:
+                await asyncio.sleep(0.02)  # the watch cache is updated after the commit
+            assert participant.decode_record("members/governor/a", MemberRecord) == MemberRecord(
                 role="governor",
                 name="a",
                 zone="hall-a",
@@ -323,36 +329,38 @@
                 address="127.0.0.1:7103",
             )
 
-    within_a_minute(work())
+    run_async(check())
 
 
-def test_a_stored_right_whose_holder_has_left_is_claimed_by_the_next_generation(sample: Sample) -> None:
-    async def work() -> None:
+def test_the_leadership_of_a_stored_leader_that_has_left_passes_to_the_next_generation(
+    sample: Sample,
+) -> None:
+    async def check() -> None:
         folder = sample("register")
-        async with opened(folder) as register:
-            await register.renew_session(SESSION_A)
-            await register.end_session(SESSION_A)
-        async with joined(folder, "c", "c-first") as (agent, coordinator):
-            claim = LeaderElection("zones", takeover_delay_us=0)
-            while agent.decode_record("rights/zones", OwnershipRecord) != OwnershipRecord(
+        async with open_store(folder) as store:
+            await store.renew_session(SESSION_A)
+            await store.end_session(SESSION_A)
+        async with join(folder, "c", "c-first") as (participant, client):
+            election = LeaderElection("zones", takeover_delay_us=0)
+            while participant.decode_record("rights/zones", OwnershipRecord) != OwnershipRecord(
                 2, "c-first", "members/governor/c"
             ):
-                claim.advance(time.monotonic_ns() // 1_000, agent)
-                coordinator.wake()
+                election.advance(time.monotonic_ns() // 1_000, participant)
+                client.wake()
                 await asyncio.sleep(0.02)
-            claim.advance(time.monotonic_ns() // 1_000, agent)
-            assert claim.fencing_token == FencingToken(2, "c-first")
+            election.advance(time.monotonic_ns() // 1_000, participant)
+            assert election.fencing_token == FencingToken(2, "c-first")
 
-    within_a_minute(work())
+    run_async(check())
 
 
-# Tenants: placement, moves, releases
+# Placement, migrations and rollouts
 
 
-def test_a_placement_file_is_read_and_made_again_to_the_byte(sample: Sample, tmp_path: Path) -> None:
+def test_a_placement_file_is_read_and_created_again_byte_for_byte(sample: Sample, tmp_path: Path) -> None:
     folder, again = sample("placement"), tmp_path / "again.json"
-    placed = read_placement(folder / "placement.json")
-    assert placed == CellPlacement(
+    placement = load_placement(folder / "placement.json")
+    assert placement == CellPlacement(
         cells=("c0", "c1"),
         cell_by_replica={"w1": "c1", "w2": "c0", "w3": "c0", "w4": "c1", "w5": "c0", "w6": "c1"},
         cell_by_tenant={"cabin": "c0", "hostel": "c0", "inn": "c1", "lodge": "c1", "villa": "c0"},
@@ -361,30 +369,28 @@
         settle_us=10_000_000,
         limits=None,
     )
-    assert [placed.home_cell(tenant) for tenant in ("inn", "motel", "palace")] == ["c1", "c1", "c0"]
+    assert [placement.home_cell(tenant) for tenant in ("inn", "motel", "palace")] == ["c1", "c1", "c0"]
     files = folder / "tenants.csv", folder / "workers.csv"
-    made = command("cells", "place", *files, "--cells", "2", "--out", again)
-    assert made.exit_code == 0
+    result = run_command("cells", "place", *files, "--cells", "2", "--out", again)
+    assert result.exit_code == 0
     assert again.read_bytes() == (folder / "placement.json").read_bytes()
 
 
-def test_a_split_placement_keeps_its_ranges_and_is_made_again_to_the_byte(
+def test_a_split_placement_keeps_its_ranges_and_is_created_again_byte_for_byte(
     sample: Sample, tmp_path: Path
 ) -> None:
     folder, again = sample("placement"), tmp_path / "again.json"
-    placed = read_placement(folder / "split.json")
-    assert (placed.cells, placed.cell_by_range) == (("c0", "c1", "c2"), ("c0", "c1"))
-    assert (placed.replicas_of("c0"), placed.replicas_of("c2")) == (
-        frozenset({"w2"}),
-        frozenset({"w3", "w5"}),
-    )
+    placement = load_placement(folder / "split.json")
+    assert (placement.cells, placement.cell_by_range) == (("c0", "c1", "c2"), ("c0", "c1"))
+    assert placement.replicas_of("c0") == frozenset({"w2"})
+    assert placement.replicas_of("c2") == frozenset({"w3", "w5"})
     files = folder / "placement.json", folder / "workers.csv"
-    made = command("cells", "split", *files, "c0", "--into", "c2", "--out", again)
-    assert made.exit_code == 0
+    result = run_command("cells", "split", *files, "c0", "--into", "c2", "--out", again)
+    assert result.exit_code == 0
     assert again.read_bytes() == (folder / "split.json").read_bytes()
 
 
-CELLS = {"A": ("a1", "a2"), "B": ("b1", "b2")}
+REPLICAS_BY_CELL = {"A": ("a1", "a2"), "B": ("b1", "b2")}
 DONE = Migration(
     id="000000-2",
     tenant="inn",
@@ -396,7 +402,7 @@
     confirmed_replicas=frozenset({"b1", "b2"}),
     completed_keys=frozenset({"k1"}),
 )
-SHUT = Migration(
+CLOSING = Migration(
     id="000001-3",
     tenant="inn",
     source="B",
@@ -409,7 +415,7 @@
 OPEN = Migration(
     id="000002-2", tenant="hostel", source="A", target="B", generation=2, step=MigrationStep.OPEN
 )
-UNDOING = Migration(
+UNDO = Migration(
     id="000003-2-undo",
     tenant="villa",
     source="B",
@@ -421,15 +427,15 @@
 UNDONE = Migration(id="000003-2", tenant="villa", source="A", target="B", generation=2)
 
 
-def test_a_mover_s_records_are_read_with_their_steps() -> None:
-    moves = load_migrations(DATA / "moves")
-    assert moves == [DONE, SHUT, OPEN, UNDOING, UNDONE]
-    assert pending_migrations(moves) == [SHUT, OPEN, UNDOING]
+def test_records_of_migrations_are_read_with_their_steps() -> None:
+    migrations = load_migrations(DATA / "moves")
+    assert migrations == [DONE, CLOSING, OPEN, UNDO, UNDONE]
+    assert pending_migrations(migrations) == [CLOSING, OPEN, UNDO]
     assert load_draining_cells(DATA / "moves") == ("B",)
 
 
 @pytest.mark.parametrize(
-    ("move", "to_tell", "word"),
+    ("migration", "recipients", "assignment"),
     [
         (
             DONE,
@@ -442,58 +448,59 @@
                 completed_keys=frozenset({"k1"}),
             ),
         ),
-        (SHUT, ["b2"], TenantAssignment(tenant="inn", generation=3, migration_id="000001-3")),
+        (CLOSING, ["b2"], TenantAssignment(tenant="inn", generation=3, migration_id="000001-3")),
         (
             OPEN,
             ["a", "b1", "b2"],
             TenantAssignment(tenant="hostel", generation=2, migration_id="000002-2", cell="B"),
         ),
-        (UNDOING, ["a"], TenantAssignment(tenant="villa", generation=3, migration_id="000003-2-undo")),
+        (UNDO, ["a"], TenantAssignment(tenant="villa", generation=3, migration_id="000003-2-undo")),
     ],
-    ids=["done", "shut", "open", "undoing"],
+    ids=["done", "closing", "open", "undo"],
 )
-def test_a_move_says_next_to_whom_its_record_still_owes_it(
-    move: Migration, to_tell: list[str], word: TenantAssignment
+def test_a_stored_migration_has_its_assignment_and_pending_recipients(
+    migration: Migration, recipients: list[str], assignment: TenantAssignment
 ) -> None:
-    (stored,) = (found for found in load_migrations(DATA / "moves") if found.id == move.id)
-    assert stored.pending_recipients(("a",), CELLS) == to_tell
-    assert stored.assignment() == word
+    (stored,) = (record for record in load_migrations(DATA / "moves") if record.id == migration.id)
+    assert stored.pending_recipients(("a",), REPLICAS_BY_CELL) == recipients
+    assert stored.assignment() == assignment
 
 
-def test_a_mover_goes_on_from_its_stored_records_to_their_end(sample: Sample, tmp_path: Path) -> None:
-    async def work() -> None:
-        store, site = sample("moves"), MigrationSite(tmp_path)
+def test_stored_migrations_are_resumed_and_completed(sample: Sample, tmp_path: Path) -> None:
+    async def check() -> None:
+        folder, site = sample("moves"), MigrationSite(tmp_path)
         try:
-            due = pending_migrations(load_migrations(store))
-            ended = await MigrationRunner(site.settings, store, lambda move, waits: None).run(due)
+            pending = pending_migrations(load_migrations(folder))
+            runner = MigrationRunner(site.settings, folder, lambda migration, wait: None)
+            ended = await runner.run(pending)
         finally:
             site.close()
-        assert [(move.id, move.step) for move in ended] == [
+        assert [(migration.id, migration.step) for migration in ended] == [
             ("000001-3", MigrationStep.DONE),
             ("000002-2", MigrationStep.DONE),
             ("000003-2-undo", MigrationStep.DONE),
         ]
         routes = {tenant: site.directory.route(tenant, "A") for tenant in ("inn", "hostel", "villa")}
         assert routes == {"inn": ("A", 3), "hostel": ("B", 2), "villa": ("A", 3)}
-        assert pending_migrations(load_migrations(store)) == []
+        assert pending_migrations(load_migrations(folder)) == []
 
-    within_a_minute(work())
+    run_async(check())
 
 
 @pytest.mark.parametrize("name", ["000001-3", "000002-2", "000003-2-undo", "000003-2"])
-def test_a_move_s_record_is_written_again_to_the_byte(tmp_path: Path, name: str) -> None:
-    """Those of one name a set: sets have no order."""
+def test_a_record_of_a_migration_is_written_again_byte_for_byte(tmp_path: Path, name: str) -> None:
+    """Only records whose sets have at most one member are compared, because sets have no order."""
     stored = (DATA / "moves" / f"{name}.move").read_bytes()
     save_migration(tmp_path, msgspec.json.decode(stored, type=Migration))
     assert (tmp_path / f"{name}.move").read_bytes() == stored
 
 
-def test_the_list_of_draining_cells_is_written_again_to_the_byte(tmp_path: Path) -> None:
+def test_the_list_of_draining_cells_is_written_again_byte_for_byte(tmp_path: Path) -> None:
     save_draining_cells(tmp_path, ("B",))
     assert (tmp_path / "draining.json").read_bytes() == (DATA / "moves" / "draining.json").read_bytes()
 
 
-USUAL = TrafficCounts(requests=240, incomplete=0, successes=240, elapsed_us=48_000_000)
+COUNTS = TrafficCounts(requests=240, incomplete=0, successes=240, elapsed_us=48_000_000)
 HALTED = Rollout(
     id="000001",
     cells=("A", "B", "C"),
@@ -502,13 +509,13 @@
     command="/bin/sh -c 'echo {worker} >> renewed'",
     rollback_command="/bin/sh -c 'echo {worker} >> back'",
     cell_index=1,
-    step=ReleaseStep.HALTED,
+    step=RolloutStep.HALTED,
     started_replicas=frozenset({"a1", "a2", "b1"}),
     updated_replicas=frozenset({"a1", "a2"}),
     halt_reason="50.0% of 60 transactions of B were not answered, 0.0% before; elsewhere 0.0%",
-    baseline={"A": USUAL, "B": USUAL, "C": USUAL},
+    baseline={"A": COUNTS, "B": COUNTS, "C": COUNTS},
 )
-UNDER_WAY = Rollout(
+RUNNING = Rollout(
     id="000002",
     cells=HALTED.cells,
     replicas=HALTED.replicas,
@@ -516,29 +523,31 @@
     command=HALTED.command,
     rollback_command=HALTED.rollback_command,
     cell_index=1,
-    step=ReleaseStep.UPDATE,
+    step=RolloutStep.UPDATE,
     started_replicas=frozenset({"a1", "a2", "b1", "b2"}),
     updated_replicas=frozenset({"a1", "a2", "b1"}),
     baseline=HALTED.baseline,
 )
 
 
-def test_a_rollout_s_record_is_read_with_its_next_worker(sample: Sample) -> None:
-    store = sample("releases")
-    last = load_rollout(store)
-    assert last == UNDER_WAY
+def test_a_record_of_a_rollout_is_read_with_its_next_replica(sample: Sample) -> None:
+    folder = sample("releases")
+    last = load_rollout(folder)
+    assert last == RUNNING
     assert (last.cell, last.next_batch()) == ("B", ("b2",))
-    (store / "000002.release").unlink()
-    before = load_rollout(store)
+    (folder / "000002.release").unlink()
+    before = load_rollout(folder)
     assert before == HALTED
     assert before.next_batch() == ()
 
 
-@pytest.mark.parametrize("release", [HALTED, UNDER_WAY], ids=["halted", "under way"])
-def test_a_rollout_s_record_is_written_again_with_the_same_fields(tmp_path: Path, release: Rollout) -> None:
-    """Its sets of several names have no order; `test_encoded_forms.py` compares bytes."""
-    save_rollout(tmp_path, release)
-    name = f"{release.id}.release"
+@pytest.mark.parametrize("rollout", [HALTED, RUNNING], ids=["halted", "running"])
+def test_a_record_of_a_rollout_is_written_again_with_the_same_fields(
+    tmp_path: Path, rollout: Rollout
+) -> None:
+    """Its sets have several members and so no order; `test_encoded_forms.py` compares bytes."""
+    save_rollout(tmp_path, rollout)
+    name = f"{rollout.id}.release"
     written: dict[str, Any] = msgspec.json.decode((tmp_path / name).read_bytes())
     stored: dict[str, Any] = msgspec.json.decode((DATA / "releases" / name).read_bytes())
     for record in (written, stored):
@@ -548,27 +557,27 @@
 
 
 @pytest.fixture
-def quick_looks() -> Iterator[None]:
-    usual, releasing.POLL_INTERVAL_S = releasing.POLL_INTERVAL_S, 0.05
+def frequent_polls() -> Iterator[None]:
+    interval_s, rollout_module.POLL_INTERVAL_S = rollout_module.POLL_INTERVAL_S, 0.05
     yield
-    releasing.POLL_INTERVAL_S = usual
+    rollout_module.POLL_INTERVAL_S = interval_s
 
 
-def test_a_rollout_goes_on_from_its_stored_record_to_its_end(
-    sample: Sample, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, quick_looks: None
+def test_a_stored_rollout_is_resumed_and_completed(
+    sample: Sample, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, frequent_polls: None
 ) -> None:
-    monkeypatch.chdir(tmp_path)  # the stored command writes where it runs
-    (tmp_path / "renewed").write_text("a1 a2 b1 b2\n")  # b2 was begun
+    monkeypatch.chdir(tmp_path)  # the stored command writes to the working directory
+    (tmp_path / "renewed").write_text("a1 a2 b1 b2\n")  # the update of b2 was started
     last = load_rollout(sample("releases"))
     assert last is not None
     ended = RolloutSite(tmp_path).run(last)
-    assert ended.step is ReleaseStep.DONE
+    assert ended.step is RolloutStep.DONE
     assert (tmp_path / "renewed").read_text().split() == ["a1", "a2", "b1", "b2", "b2", "c1", "c2"]
 
 
-# Plans for events
+# Capacity plans
 
-FESTIVAL = PlannedCase(
+FIRST_CASE = PlannedCase(
     slot=0,
     lost_zones=(),
     served=(
@@ -600,31 +609,31 @@
 )
 
 
-def test_a_plan_file_is_read_and_still_fits_its_event() -> None:
+def test_a_plan_file_is_read_and_is_valid_for_its_event() -> None:
     plan: CapacityPlan = load_plan(DATA / "plan" / "plan.json")
     assert (plan.version, plan.event, plan.starts_at) == (1, "snow-festival", "2027-02-05T09:00:00+09:00")
     assert (plan.time_zone, plan.slot_s, plan.fleet_checksum) == ("Asia/Tokyo", 3600, "08d663ca")
     assert [(case.slot, case.lost_zones) for case in plan.cases] == [
         (slot, lost) for slot in (0, 1) for lost in ((), ("hall-a",), ("hall-b",))
     ]
-    assert plan.cases[0] == FESTIVAL
-    checked = command("plan", "check", DATA / "plan" / "events.kdl", DATA / "plan" / "plan.json")
-    assert (checked.exit_code, checked.output.endswith("fits and holds\n")) == (0, True)
+    assert plan.cases[0] == FIRST_CASE
+    result = run_command("plan", "check", DATA / "plan" / "events.kdl", DATA / "plan" / "plan.json")
+    assert (result.exit_code, result.output.endswith("fits and holds\n")) == (0, True)
 
 
-def test_a_plan_file_is_made_and_written_again_to_the_byte(tmp_path: Path) -> None:
+def test_a_plan_file_is_written_and_created_again_byte_for_byte(tmp_path: Path) -> None:
     stored = (DATA / "plan" / "plan.json").read_bytes()
     plan: CapacityPlan = msgspec.json.decode(stored, type=CapacityPlan)
     assert msgspec.json.format(msgspec.json.encode(plan), indent=1) == stored
     again = tmp_path / "again.json"
-    made = command("plan", "make", DATA / "plan" / "events.kdl", "--out", again)
-    assert made.exit_code == 1  # a lost hall leaves too little
+    result = run_command("plan", "make", DATA / "plan" / "events.kdl", "--out", again)
+    assert result.exit_code == 1  # after the loss of a zone, the capacity does not suffice
     assert again.read_bytes() == stored
 
 
-# A governor's state: the saved list of endpoints, and its book of moved tenants
+# The state of a governor: the cached endpoint list and the assignments of tenants
 
-LISTED = (
+ENDPOINTS = (
     feed.EndpointRecord(
         replica="w1",
         zone="hall-a",
@@ -662,7 +671,7 @@
         age_us=1_183_765,
     ),
 )
-BOOK = (TenantAssignment(tenant="inn3", generation=2, migration_id="000000-2", cell="c1"),)
+ASSIGNMENTS = (TenantAssignment(tenant="inn3", generation=2, migration_id="000000-2", cell="c1"),)
 SETTINGS = """
 fleet relays=2 roster="127.0.0.1:{roster}" {{
     zones "hall-a" "hall-b"
@@ -677,48 +686,55 @@
 """
 
 
-def test_a_governor_s_state_files_are_read_and_written_again_to_the_byte() -> None:
+def test_the_state_files_of_a_governor_are_read_and_written_again_byte_for_byte() -> None:
     stored = (DATA / "governor" / "roster.json").read_bytes()
-    assert msgspec.json.decode(stored, type=tuple[feed.EndpointRecord, ...]) == LISTED
-    assert msgspec.json.encode(LISTED) == stored
+    assert msgspec.json.decode(stored, type=tuple[feed.EndpointRecord, ...]) == ENDPOINTS
+    assert msgspec.json.encode(ENDPOINTS) == stored
     stored = (DATA / "governor" / "cells.json").read_bytes()
-    assert msgspec.json.decode(stored, type=tuple[TenantAssignment, ...]) == BOOK
-    assert msgspec.json.encode(BOOK) == stored
+    assert msgspec.json.decode(stored, type=tuple[TenantAssignment, ...]) == ASSIGNMENTS
+    assert msgspec.json.encode(ASSIGNMENTS) == stored
 
 
-def test_a_governor_begins_with_its_saved_list_and_its_book_while_no_roster_answers(tmp_path: Path) -> None:
+def test_a_governor_starts_with_its_stored_state_if_the_endpoint_list_is_unavailable(tmp_path: Path) -> None:
     shutil.copytree(DATA / "governor", tmp_path / "state")
-    placed = CellPlacement(
+    placement = CellPlacement(
         cells=("c0", "c1"),
         cell_by_replica={"w1": "c1", "w2": "c0", "w3": "c1", "w4": "c0"},
         cell_by_tenant={"inn3": "c0"},
     )
-    (tmp_path / "cells.json").write_bytes(msgspec.json.encode(placed))
-    roster, port = find_free_ports(2)
-    text = reader.SettingsReader("settings")
-    settings = parse_settings(text.parse(SETTINGS.format(roster=roster, governor=port)), tmp_path)
-    text.raise_errors()
-
-    async def work() -> None:
+    (tmp_path / "cells.json").write_bytes(msgspec.json.encode(placement))
+    list_port, port = find_free_ports(2)
+    settings_reader = SettingsReader("settings")
+    root = settings_reader.parse(SETTINGS.format(roster=list_port, governor=port))
+    settings = parse_settings(root, tmp_path)
+    settings_reader.raise_errors()
+
+    async def check() -> None:
         service = GovernorService(settings.fleet, settings.governor("a"))
         running, client = asyncio.create_task(service.run()), HttpClient(LOCAL, port)
-        late = TenantAssignment(tenant="inn3", generation=2, migration_id="another", cell="c0")
+        conflicting = TenantAssignment(tenant="inn3", generation=2, migration_id="another", cell="c0")
         try:
             while not service.core.endpoint_list.endpoints:
                 await asyncio.sleep(0.02)
-            assert service.core.endpoint_list.endpoints == {entry.replica: entry for entry in LISTED}
+            assert service.core.endpoint_list.endpoints == {
+                endpoint.replica: endpoint for endpoint in ENDPOINTS
+            }
             assert service.core.endpoint_list.is_stale
-            assert service.assignments.directory.assignments == {word.tenant: word for word in BOOK}
+            assert service.assignments.directory.assignments == {
+                assignment.tenant: assignment for assignment in ASSIGNMENTS
+            }
             assert service.assignments.directory.route("inn3", "c0") == ("c1", 2)
-            answer = await client.request("POST", "/v1/cells/word", msgspec.json.encode(late), timeout_s=30)
-            confirm: AssignmentAck = msgspec.json.decode(answer.body, type=AssignmentAck)
-            assert confirm.assignment == BOOK[0]  # what it knew before stands against another move
+            response = await client.request(
+                "POST", "/v1/cells/word", msgspec.json.encode(conflicting), timeout_s=30
+            )
+            ack: AssignmentAck = msgspec.json.decode(response.body, type=AssignmentAck)
+            assert ack.assignment == ASSIGNMENTS[0]  # the stored assignment wins over the conflicting one
         finally:
             service.stop()
             assert await running == 0
             client.close()
 
-    within_a_minute(work())
+    run_async(check())
 
 
 # Histories
@@ -728,16 +744,12 @@
     return sorted((DATA / "history" / name).glob("*.jsonl"))
 
 
-def test_a_history_is_read_with_calls_answers_and_effects() -> None:
-    lines = records.load_history(history("whole"))
-    assert [
-        sum(isinstance(line, kind) for line in lines) for kind in (records.Invocation, records.Completion)
-    ] == [
-        82,
-        82,
-    ]
-    answers = [line.outcome.value for line in lines if isinstance(line, records.Completion)]
-    assert {how: answers.count(how) for how in answers} == {
+def test_a_history_is_read_with_invocations_completions_and_effects() -> None:
+    entries = records.load_history(history("whole"))
+    assert sum(isinstance(entry, records.Invocation) for entry in entries) == 82
+    completions = [entry for entry in entries if isinstance(entry, records.Completion)]
+    assert len(completions) == 82
+    assert Counter(completion.outcome.value for completion in completions) == {
         "read": 3,
         "watched": 63,
         "done": 12,
@@ -745,16 +757,16 @@
         "unknown": 1,
         "refused": 2,
     }
-    wrote = records.RequestedChange(key="views/governor/b", expected_version=0, session_id=SESSION_B)
-    saw = records.ObservedRecord(key="views/governor/b", version=11, commit_id="b-first:3")
-    assert [line for line in lines if 105_000 <= line.time_us <= 110_000] == [
+    change = records.RequestedChange(key="views/governor/b", expected_version=0, session_id=SESSION_B)
+    observed = records.ObservedRecord(key="views/governor/b", version=11, commit_id="b-first:3")
+    assert [entry for entry in entries if 105_000 <= entry.time_us <= 110_000] == [
         records.Invocation(
             time_us=105_000,
             process="b-first",
             call_id=15,
             operation=records.StoreCall.COMMIT,
             commit_id="b-first:3",
-            changes=(wrote,),
+            changes=(change,),
         ),
         records.Completion(
             time_us=106_000, process="b-first", call_id=15, outcome=records.CallOutcome.UNKNOWN
@@ -772,7 +784,10 @@
             call_id=16,
             outcome=records.CallOutcome.WATCHED,
             revision=11,
-            observed=(records.ObservedRecord(key="zones/views/b", version=10, commit_id="b-first:2"), saw),
+            observed=(
+                records.ObservedRecord(key="zones/views/b", version=10, commit_id="b-first:2"),
+                observed,
+            ),
         ),
         records.Invocation(
             time_us=109_000,
@@ -780,7 +795,7 @@
             call_id=17,
             operation=records.StoreCall.COMMIT,
             commit_id="b-first:3",
-            changes=(wrote,),
+            changes=(change,),
         ),
         records.Completion(
             time_us=110_000,
@@ -788,10 +803,10 @@
             call_id=17,
             outcome=records.CallOutcome.REJECTED,
             revision=11,
-            observed=(saw,),
+            observed=(observed,),
         ),
     ]
-    assert lines[-4:] == [
+    assert entries[-4:] == [
         records.Effect(
             time_us=200_000,
             process="ledger",
@@ -817,11 +832,11 @@
     ]
 
 
-def test_a_history_in_order_is_linearizable_and_each_effect_was_taken_once() -> None:
-    lines = records.load_history(history("whole"))
-    assert linearizability.find_linearizability_violations(lines) == []
-    assert find_fencing_violations(lines) == []
-    assert find_duplicate_effects(lines) == []
+def test_a_correct_history_has_no_violations() -> None:
+    entries = records.load_history(history("whole"))
+    assert linearizability.find_linearizability_violations(entries) == []
+    assert find_fencing_violations(entries) == []
+    assert find_duplicate_effects(entries) == []
 
 
 def test_a_history_out_of_order_shows_the_same_breaches() -> None:
@@ -852,35 +867,38 @@
 
 
 @pytest.mark.parametrize("path", [*history("whole"), *history("broken")], ids=lambda path: path.stem)
-def test_a_history_is_written_again_to_the_byte(path: Path, tmp_path: Path) -> None:
+def test_a_history_is_written_again_byte_for_byte(path: Path, tmp_path: Path) -> None:
     writer = records.HistoryWriter(tmp_path / path.name, path.stem)
-    for line in records.load_history([path]):
-        writer(line)
+    for entry in records.load_history([path]):
+        writer(entry)
     writer.close()
     assert (tmp_path / path.name).read_bytes() == path.read_bytes()
 
 
-# Run folders of scripted days
+# Folders of scenario runs
 
-Break = tuple[float, str, str, str]  # when, at which relay and replica, what
+ViolationFields = tuple[float, str, str, str]  # time in s, proxy, replica, description
 
 
-def figures(verdict: Verdict) -> dict[str, tuple[str, float, int, list[Break]]]:
+def result_fields(verdict: Verdict) -> dict[str, tuple[str, float, int, list[ViolationFields]]]:
     return {
-        rule.rule: (
-            rule.state,
-            rule.limit_used,
-            rule.occasions,
-            [(found.at_s, found.proxy, found.replica, found.description) for found in rule.violations],
+        result.rule: (
+            result.state,
+            result.limit_used,
+            result.occasions,
+            [
+                (violation.at_s, violation.proxy, violation.replica, violation.description)
+                for violation in result.violations
+            ],
         )
-        for rule in verdict.results
+        for result in verdict.results
     }
 
 
-def test_a_run_folder_is_judged_as_before() -> None:
+def test_a_run_folder_gets_the_same_verdict_as_before() -> None:
     plan, verdict = check_run_folder(DATA / "run")
     assert (plan.name, plan.seed, plan.length_us) == ("tiny", 1, 3_500_000)
-    assert figures(verdict) == {
+    assert result_fields(verdict) == {
         "line": ("kept", 0.0, 96, []),
         "twice": ("kept", 0.0, 6, []),
         "drain": ("kept", 0.0, 2, []),
@@ -892,12 +910,12 @@
     assert (verdict.is_complete, verdict.reason, verdict.is_passed) == (True, "", True)
     assert (verdict.completed_share, verdict.requests) == (0.6087, 24)
     assert verdict.completed_share_by_class == {"rate-check": 0.7692, "booking-commit": 0.5455}
-    assert command("audit", DATA / "run").exit_code == 0
+    assert run_command("audit", DATA / "run").exit_code == 0
 
 
-def test_a_run_folder_that_broke_every_rule_is_judged_as_before() -> None:
+def test_a_run_folder_that_breaks_almost_every_rule_gets_the_same_verdict_as_before() -> None:
     _, verdict = check_run_folder(DATA / "run-broken")
-    assert figures(verdict) == {
+    assert result_fields(verdict) == {
         "line": (
             "broken",
             1.1667,
@@ -952,19 +970,19 @@
         "placement": ("kept", 0.0, 7, []),
     }
     assert (verdict.is_complete, verdict.is_passed) == (True, False)
-    assert command("audit", DATA / "run-broken").exit_code == 1
+    assert run_command("audit", DATA / "run-broken").exit_code == 1
 
 
-def test_the_plan_of_a_run_folder_is_read_and_written_again_to_the_byte() -> None:
+def test_the_plan_of_a_run_folder_is_read_and_written_again_byte_for_byte() -> None:
     stored = DATA / "run" / "plan.json"
-    plan = scripted.load_plan(str(stored))
+    plan = scenario_plan.load_plan(str(stored))
     assert msgspec.json.encode(plan) == stored.read_bytes()
     assert plan.cells == ("c0", "c1")
     assert plan.cell_by_replica == {"w2": "c0", "w4": "c0", "w1": "c1", "w3": "c1"}
-    assert plan.steps[0] == scripted.Step(
+    assert plan.steps[0] == scenario_plan.Step(
         at_us=500_000, role="day", command={"do": "move", "governor": "", "tenants": ["inn3"], "to": "c1"}
     )
-    assert plan.replicas[0] == scripted.ReplicaPlan(
+    assert plan.replicas[0] == scenario_plan.ReplicaPlan(
         name="w1",
         zone="hall-a",
         kind="large-4c",
