--- a/tests/test_encoded_forms.py
+++ b/tests/test_encoded_forms.py
@@ -1,8 +1,8 @@
-"""Names and order of fields in everything that is stored or sent, compared byte by byte with commit 88767ee.
+"""The encoded form of everything that is stored or sent, compared byte by byte with that of commit 88767ee.
 
-`tests/data/encoded.txt` holds what that version wrote for each value in `VALUES`: a name, a colon, the JSON.
-A class or field that gets another name in the code keeps its name in the data: no line of that file changes.
-Sets have no order of their own, so here each has one member at most.
+Each line of `tests/data/encoded.txt` holds a name, a colon, and the JSON that that version wrote for the
+value of that name in `VALUES`. When a class or field is renamed in the code, its encoded name stays, and with
+it the file. Sets have no order, so each set in `VALUES` has at most one member.
 """
 
 from __future__ import annotations
@@ -35,15 +35,17 @@
 from gradehoist.testbed import endpoint_list, etcd_calls, scenario_plan
 from gradehoist.zones import evacuation, health, warmup_quota
 
-FILE = Path(__file__).parent / "data" / "encoded.txt"
-READ_ONLY = {run_records.RecordHeader, *get_args(run_records.Event)}  # `tests/data/run` guards their keys
-NEVER_ENCODED = {  # by their field names, that is
+ENCODED_FORMS = Path(__file__).parent / "data" / "encoded.txt"
+# These types are only decoded; the samples in `tests/data/run` cover their keys.
+READ_ONLY = {run_records.RecordHeader, *get_args(run_records.Event)}
+# The field names of these types are not part of any encoded form.
+NEVER_ENCODED = {
     orca.OrcaReport,
     etcd_calls.ServerFaults,
     endpoint_list.EndpointState,
     *READ_ONLY,
 }
-ETCD_MESSAGES = "gradehoist.net.etcd_messages"  # of etcd's interface: test_etcd.py compares their bytes
+ETCD_MESSAGES = "gradehoist.net.etcd_messages"  # the messages of etcd's interface, covered by test_etcd.py
 
 ALL_DELTAS: tuple[feed.Delta, ...] = (
     feed.WeightDelta(table=3, replica="w1", weight=0.5),
@@ -56,7 +58,7 @@
     feed.TenantMigrated(tenant="inn", cell="", generation=3),
     feed.RateLimitsDelta(cell_rate=10.0, tenant_rate=2.0, burst_s=1.5, tenant_in_flight=7, cell_in_flight=9),
 )
-ALL_LINES: tuple[records.HistoryEntry, ...] = (
+ALL_HISTORY_ENTRIES: tuple[records.HistoryEntry, ...] = (
     records.Invocation(
         time_us=1,
         process="a",
@@ -82,7 +84,7 @@
     records.ProcessEvent(time_us=9, process="a", event="joined", fields={"gen": 2}),
     records.HistoryTruncated(time_us=10, process="a"),
 )
-REPLICA = feed.EndpointRecord(
+ENDPOINT = feed.EndpointRecord(
     replica="w1",
     zone="hall-a",
     address="127.0.0.1:9001",
@@ -96,7 +98,7 @@
 MESSAGE = feed.Message(
     seq=1, reply_number=2, created_us=3, cost_lines=14.0, deltas=ALL_DELTAS, revision=4, is_snapshot=True
 )
-SIGHT = health.ZoneObservation(
+ZONE_OBSERVATION = health.ZoneObservation(
     attempts=9.0,
     failures=1.0,
     late_responses=2.0,
@@ -107,22 +109,22 @@
     busy_share=0.5,
     sustainable_share=0.25,
 )
-STAY = evacuation.ZoneEvacuation(
+ZONE_EVACUATION = evacuation.ZoneEvacuation(
     traffic_share=0.5, reason="failing", is_recovering=True, relapses=2, required_healthy_us=20_000_000
 )
-SERVED = ServedRate(
+SERVED_RATE = ServedRate(
     request_class="read", origin="hall-a", zone="hall-b", kind="large-4c", cell="A", rate_units=12_345
 )
-CASE = PlannedCase(
+PLANNED_CASE = PlannedCase(
     slot=1,
     lost_zones=("hall-a",),
-    served=(SERVED,),
+    served=(SERVED_RATE,),
     shortfalls=(Shortfall("read", "hall-a", "7/3"),),
     replicas_to_add=(ReplicaAddition("hall-b", "large-4c", 2),),
     prices=(LoadPrice("hall-b", "large-4c", "A", 5),),
 )
-ENDPOINT = ("127.0.0.1", 9001)
-DAY = scenario_plan.Plan(
+ADDRESS = ("127.0.0.1", 9001)
+SCENARIO_PLAN = scenario_plan.Plan(
     name="day",
     seed=1,
     length_us=2,
@@ -175,16 +177,16 @@
     ),
     proxies=(
         scenario_plan.ProxyPlan(
-            name="r1", zone="hall-a", port=9002, traffic_share=1.0, governors=(("a", ENDPOINT),)
+            name="r1", zone="hall-a", port=9002, traffic_share=1.0, governors=(("a", ADDRESS),)
         ),
     ),
-    governors=(("a", "hall-a", ENDPOINT),),
+    governors=(("a", "hall-a", ADDRESS),),
     links=(
         scenario_plan.LinkPlan(
-            port=9003, zone="hall-a", target="w1", target_zone="hall-b", address=ENDPOINT, proxy="r1"
+            port=9003, zone="hall-a", target="w1", target_zone="hall-b", address=ADDRESS, proxy="r1"
         ),
     ),
-    endpoint_list=ENDPOINT,
+    endpoint_list=ADDRESS,
     control_ports={"clients": 9004},
     steps=(scenario_plan.Step(at_us=12, role="clients", command={"do": "begin"}),),
     requests_per_s=13.0,
@@ -215,10 +217,10 @@
     ),
     even_weights=True,
 )
-WORD = assignment.TenantAssignment(
+ASSIGNMENT = assignment.TenantAssignment(
     tenant="inn", generation=3, migration_id="000001-3", cell="B", completed_keys=frozenset({"k1"})
 )
-MOVE = migration.Migration(
+MIGRATION = migration.Migration(
     id="000001-3",
     tenant="inn",
     source="A",
@@ -233,8 +235,8 @@
     is_undo=True,
     conflict="b holds generation 4",
 )
-SEEN = rollout.TrafficCounts(requests=40, incomplete=1, successes=39, elapsed_us=7_800_000)
-RELEASE = rollout.Rollout(
+TRAFFIC_COUNTS = rollout.TrafficCounts(requests=40, incomplete=1, successes=39, elapsed_us=7_800_000)
+ROLLOUT = rollout.Rollout(
     id="000002",
     cells=("A", "B"),
     replicas={"A": ("a1", "a2"), "B": ("b1",)},
@@ -246,7 +248,7 @@
     started_replicas=frozenset({"b1"}),
     updated_replicas=frozenset({"a1"}),
     halt_reason="harm",
-    baseline={"A": SEEN},
+    baseline={"A": TRAFFIC_COUNTS},
 )
 PLACEMENT = CellPlacement(
     cells=("A", "B"),
@@ -265,7 +267,7 @@
 )
 
 VALUES: dict[str, Any] = {
-    # The feed of the governors' HTTP API, the roster's lists and the relays' sums
+    # The feed of the governors' HTTP API, endpoint lists and load reports
     "line": ALL_DELTAS[0],
     "clear": ALL_DELTAS[1],
     "bind": ALL_DELTAS[2],
@@ -300,18 +302,18 @@
         proxy_name="r1", zone="hall-a", request_rate=9.5, epoch="e", stream=1, acknowledged_seq=2
     ),
     "error": openapi.ErrorBody(error="not understood"),
-    "replica": REPLICA,
+    "replica": ENDPOINT,
     "roster": feed.EndpointListUpdate(
-        incarnation="l", version=7, endpoints=(REPLICA,), is_snapshot=True, since_version=6
+        incarnation="l", version=7, endpoints=(ENDPOINT,), is_snapshot=True, since_version=6
     ),
     # Histories
-    "asked": ALL_LINES[0],
-    "answered": ALL_LINES[1],
-    "effect": ALL_LINES[2],
-    "turned": ALL_LINES[3],
-    "told": ALL_LINES[4],
-    "cut": ALL_LINES[5],
-    # Records of the register
+    "asked": ALL_HISTORY_ENTRIES[0],
+    "answered": ALL_HISTORY_ENTRIES[1],
+    "effect": ALL_HISTORY_ENTRIES[2],
+    "turned": ALL_HISTORY_ENTRIES[3],
+    "told": ALL_HISTORY_ENTRIES[4],
+    "cut": ALL_HISTORY_ENTRIES[5],
+    # Records of the coordination store
     "member": coordination_records.MemberRecord(
         role="governor", name="a", zone="hall-a", incarnation="a-1", generation=2, address="127.0.0.1:7101"
     ),
@@ -323,7 +325,7 @@
         zone="hall-a",
         requests_per_s=12.5,
         list_age_us=400_000,
-        observations={"hall-b": SIGHT},
+        observations={"hall-b": ZONE_OBSERVATION},
         window_us=9_000_000,
         offered_by_zone={"hall-a": {"read": 9.5}},
         incarnation="a-1",
@@ -331,24 +333,24 @@
         applied_allocation=3,
     ),
     "plan of zones": evacuation.EvacuationPlan(
-        generation=1, leader="a-1", step=2, zones={"hall-b": STAY}, admission_limits={"read": 0.8}
+        generation=1, leader="a-1", step=2, zones={"hall-b": ZONE_EVACUATION}, admission_limits={"read": 0.8}
     ),
     "deal": warmup_quota.QuotaAllocation(
         generation=3, leader="a-1", quotas={"a-1": 0.75}, upper_bounds={"a-1": 1.0}
     ),
-    # Tenants: placement, words to governors and workers, records of moves and releases
+    # Placement, assignments of tenants, and records of migrations and rollouts
     "placement": PLACEMENT,
-    "word": WORD,
+    "word": ASSIGNMENT,
     "confirm": assignment.AssignmentAck(
-        sender="a", assignment=WORD, has_writes_in_flight=True, completed_keys=frozenset({"k2"})
+        sender="a", assignment=ASSIGNMENT, has_writes_in_flight=True, completed_keys=frozenset({"k2"})
     ),
-    "move": MOVE,
+    "move": MIGRATION,
     "shortest move": migration.Migration(id="000000-2", tenant="inn", source="A", target="B", generation=2),
-    "release": RELEASE,
+    "release": ROLLOUT,
     "shortest release": rollout.Rollout(
         id="000001", cells=("A",), replicas={"A": ("a1",)}, batch_size=1, command="renew"
     ),
-    # Plans for events, plans and verdicts of scripted days
+    # Capacity plans, and plans and verdicts of scenario runs
     "plan of an event": CapacityPlan(
         version=1,
         event="fair",
@@ -356,9 +358,9 @@
         time_zone="Asia/Tokyo",
         slot_s=3600,
         fleet_checksum="08d663ca",
-        cases=(CASE,),
+        cases=(PLANNED_CASE,),
     ),
-    "plan of a day": DAY,
+    "plan of a day": SCENARIO_PLAN,
     "verdict": Verdict(
         is_complete=False,
         reason="no end",
@@ -382,33 +384,33 @@
 }
 
 
-def stored_forms() -> dict[str, bytes]:
-    lines = FILE.read_bytes().splitlines()
+def read_encoded_forms() -> dict[str, bytes]:
+    lines = ENCODED_FORMS.read_bytes().splitlines()
     return {name.decode(): data for name, _, data in (line.partition(b": ") for line in lines)}
 
 
 @pytest.mark.parametrize("name", list(VALUES))
-def test_a_value_is_written_as_before_and_read_back(name: str) -> None:
-    written = stored_forms()[name]
+def test_a_value_is_encoded_as_before_and_decoded_again(name: str) -> None:
+    encoded = read_encoded_forms()[name]
     value = VALUES[name]
-    assert msgspec.json.encode(value) == written
-    assert msgspec.json.decode(written, type=type(value)) == value
+    assert msgspec.json.encode(value) == encoded
+    assert msgspec.json.decode(encoded, type=type(value)) == value
 
 
-def test_each_stored_form_has_its_value() -> None:
-    assert list(stored_forms()) == list(VALUES)
+def test_each_encoded_form_has_a_value() -> None:
+    assert list(read_encoded_forms()) == list(VALUES)
 
 
 def test_each_tag_of_feeds_and_histories_is_among_the_values() -> None:
     assert {type(delta) for delta in ALL_DELTAS} == set(get_args(feed.Delta))
-    assert {type(line) for line in ALL_LINES} == set(get_args(records.HistoryEntry))
-    decoded: feed.Message = msgspec.json.decode(stored_forms()["message"], type=feed.Message)
-    assert decoded.deltas == ALL_DELTAS  # each tag leads to its own type
+    assert {type(entry) for entry in ALL_HISTORY_ENTRIES} == set(get_args(records.HistoryEntry))
+    decoded: feed.Message = msgspec.json.decode(read_encoded_forms()["message"], type=feed.Message)
+    assert decoded.deltas == ALL_DELTAS  # each tag is decoded to its own type
 
 
-def within(value: Any) -> set[type]:
-    """The types of a value and of all that it holds."""
-    found = {type(value)}
+def contained_types(value: Any) -> set[type]:
+    """Returns the types of a value and of all values that it contains."""
+    own_type = {type(value)}
     if isinstance(value, msgspec.Struct):
         parts: Any = msgspec.structs.asdict(value).values()
     elif isinstance(value, dict):
@@ -417,22 +419,22 @@
         parts = value
     else:
         parts = ()
-    return found.union(*(within(part) for part in parts))
+    return own_type.union(*(contained_types(part) for part in parts))
 
 
-def kinds(base: type[msgspec.Struct]) -> set[type]:
-    """All structs of this program that have been imported."""
-    found = {kind for sub in base.__subclasses__() for kind in (sub, *kinds(sub))}
-    own = {kind for kind in found if kind.__module__.startswith("gradehoist.")}
+def loaded_subclasses(base: type[msgspec.Struct]) -> set[type]:
+    """Returns the imported subclasses of `base` in this program, except the messages of etcd's interface."""
+    subclasses = {kind for sub in base.__subclasses__() for kind in (sub, *loaded_subclasses(sub))}
+    own = {kind for kind in subclasses if kind.__module__.startswith("gradehoist.")}
     return {kind for kind in own if kind.__module__ != ETCD_MESSAGES}
 
 
-def test_each_type_that_is_encoded_is_among_the_values() -> None:
-    assert kinds(msgspec.Struct) - within(VALUES) == NEVER_ENCODED
+def test_each_encoded_type_is_among_the_values() -> None:
+    assert loaded_subclasses(msgspec.Struct) - contained_types(VALUES) == NEVER_ENCODED
 
 
 @pytest.mark.parametrize(
-    ("states", "words"),
+    ("enumeration", "values"),
     [
         (migration.MigrationStep, ["shut", "open", "done"]),
         (assignment.WriteDecision, ["take", "known", "busy", "moved", "no lease"]),
@@ -447,5 +449,5 @@
         ),
     ],
 )
-def test_a_state_keeps_the_word_that_is_stored_or_told_for_it(states: type[Enum], words: list[str]) -> None:
-    assert [state.value for state in states] == words
+def test_an_enumeration_keeps_its_stored_values(enumeration: type[Enum], values: list[str]) -> None:
+    assert [member.value for member in enumeration] == values
