--- a/gradehoist/coordination/election.py
+++ b/gradehoist/coordination/election.py
@@ -35,8 +35,8 @@
     takeover_delay_us: int
     rank: float = 0.0
     fencing_token: FencingToken | None = None
-    _vacant_since_us: int | None = None
-    _claim_id: str = ""
+    _leaderless_since_us: int | None = None
+    _claim_commit_id: str = ""
     _claimed_token: FencingToken | None = None
 
     @property
@@ -49,21 +49,21 @@
         owner = participant.decode_record(self.record_key, OwnershipRecord)
         if owner is not None and self._is_own(owner, participant):
             self.fencing_token = owner.fencing_token
-            self._vacant_since_us = None
+            self._leaderless_since_us = None
             return
         if owner is not None and self._is_superseded_by(owner):
             self.fencing_token = None
-        if self._claim_id or not participant.is_joined:
+        if self._claim_commit_id or not participant.is_joined:
             return
         if owner is None:
             self._claim(participant)
             return
         if owner.holder != participant.identity.incarnation and _has_member_record(owner, participant):
-            self._vacant_since_us = None
+            self._leaderless_since_us = None
             return
-        if self._vacant_since_us is None:
-            self._vacant_since_us = now_us
-        if now_us - self._vacant_since_us >= self.takeover_delay_us * (1 + TAKEOVER_SPREAD * self.rank):
+        if self._leaderless_since_us is None:
+            self._leaderless_since_us = now_us
+        if now_us - self._leaderless_since_us >= self.takeover_delay_us * (1 + TAKEOVER_SPREAD * self.rank):
             self._claim(participant)
 
     def on_commit_settled(self, commit_id: str, outcome: CommitOutcome) -> None:
@@ -71,12 +71,12 @@
 
         If the outcome is unknown, the cached record shows later whether the claim was committed.
         """
-        if commit_id != self._claim_id:
+        if commit_id != self._claim_commit_id:
             return
         if outcome is CommitOutcome.COMMITTED:
             self.fencing_token = self._claimed_token
-        self._claim_id = ""
-        self._vacant_since_us = None
+        self._claim_commit_id = ""
+        self._leaderless_since_us = None
 
     def on_token_rejected(self, participant: Participant, known: FencingToken) -> None:
         """Gives up leadership after an effect was rejected because of the token `known`."""
@@ -99,7 +99,7 @@
             holder=participant.identity.incarnation,
             member_key=participant.identity.member_key,
         )
-        self._claim_id = participant.propose(participant.build_put(self.record_key, owner))
+        self._claim_commit_id = participant.propose(participant.build_put(self.record_key, owner))
 
 
 def _has_member_record(owner: OwnershipRecord, participant: Participant) -> bool:
--- a/gradehoist/coordination/fallback.py
+++ b/gradehoist/coordination/fallback.py
@@ -39,23 +39,23 @@
         """Accepts limits that a leader wrote under `token`; returns False if a newer token is known."""
         if compare_tokens(token, self.fencing_token) in (TokenOrder.OLDER, TokenOrder.CONFLICTING):
             return False
-        self._advance(now_us)
+        self._advance_ramp(now_us)
         self.fencing_token = token
         self._agreed = dict(limits)
-        self._lower()
+        self._lower_limits()
         return True
 
     def on_store_lost(self, now_us: int) -> None:
         """Begins an outage of the store, unless one has begun already."""
         if self._lost_since_us is None:
-            self._advance(now_us)
+            self._advance_ramp(now_us)
             self._lost_since_us = now_us
 
     def on_store_recovered(self, now_us: int) -> None:
         """Ends an outage of the store."""
-        self._advance(now_us)
+        self._advance_ramp(now_us)
         self._lost_since_us = None
-        self._lower()
+        self._lower_limits()
 
     @property
     def is_store_lost(self) -> bool:
@@ -64,26 +64,26 @@
 
     def limits_at(self, now_us: int) -> dict[str, float]:
         """Returns the limits in force now. Names that are not listed are unlimited."""
-        self._advance(now_us)
+        self._advance_ramp(now_us)
         return dict(self._in_force)
 
-    def _lower(self) -> None:
+    def _lower_limits(self) -> None:
         for name, agreed in self._agreed.items():
             self._in_force[name] = min(agreed, self._in_force.get(name, UNLIMITED))
 
-    def _advance(self, now_us: int) -> None:
+    def _advance_ramp(self, now_us: int) -> None:
         """Moves the limits along the ramp by the time since the last call, less the time they were held."""
         since_us = self._advanced_us
         self._advanced_us = now_us
         names = self._in_force.keys() | self._agreed.keys()
         if self._lost_since_us is None:
-            self._ramp({name: self._agreed.get(name, UNLIMITED) for name in names}, now_us - since_us)
+            self._ramp_limits({name: self._agreed.get(name, UNLIMITED) for name in names}, now_us - since_us)
             return
         hold_ends_us = self._lost_since_us + self.hold_us
         if now_us > hold_ends_us:
-            self._ramp(dict.fromkeys(names, UNLIMITED), now_us - max(since_us, hold_ends_us))
+            self._ramp_limits(dict.fromkeys(names, UNLIMITED), now_us - max(since_us, hold_ends_us))
 
-    def _ramp(self, targets: dict[str, float], duration_us: int) -> None:
+    def _ramp_limits(self, targets: dict[str, float], duration_us: int) -> None:
         step = duration_us / self.ramp_us
         for name, target in targets.items():
             current = self._in_force.get(name, UNLIMITED)
--- a/gradehoist/coordination/members.py
+++ b/gradehoist/coordination/members.py
@@ -72,12 +72,12 @@
     status: MemberStatus
     failed_checks: int = 0
     failing_since_us: int = 0
-    record_gone_since_us: int | None = None
+    record_deleted_at_us: int | None = None
 
     @property
     def is_listed(self) -> bool:
         """Whether the member's record is in the store."""
-        return self.record_gone_since_us is None
+        return self.record_deleted_at_us is None
 
     @property
     def is_failing_checks(self) -> bool:
@@ -105,8 +105,8 @@
         self.seed = seed
         self.tracked: dict[str, _TrackedMember] = {}
         self.reports: dict[str, ReachabilityReport] = {}
-        self._round: list[str] = []
-        self._rounds = 0
+        self._unchecked_in_round: list[str] = []
+        self._round_count = 0
         self._next_check_us = 0
 
     def update_member(self, now_us: int, key: str, member: MemberRecord | None) -> None:
@@ -114,7 +114,7 @@
         tracked = self.tracked.get(key)
         if member is None:
             if tracked is not None and tracked.is_listed:
-                tracked.record_gone_since_us = now_us
+                tracked.record_deleted_at_us = now_us
         elif tracked is None or member.generation > tracked.member.generation:
             # A higher generation means a new incarnation, to which failed health checks of the old one do not
             # apply.
@@ -123,7 +123,7 @@
             member.generation == tracked.member.generation
             and member.incarnation == tracked.member.incarnation
         ):
-            tracked.record_gone_since_us = None
+            tracked.record_deleted_at_us = None
         # A record with a lower generation is out of date, and is ignored.
 
     def update_report(self, key: str, report: ReachabilityReport | None) -> None:
@@ -155,10 +155,10 @@
         ]
         if not others:
             return None
-        self._round = [key for key in self._round if key in self.tracked]
-        if not self._round:
-            self._round = self._shuffle(others)
-        return self.tracked[self._round.pop()].member
+        self._unchecked_in_round = [key for key in self._unchecked_in_round if key in self.tracked]
+        if not self._unchecked_in_round:
+            self._unchecked_in_round = self._shuffle(others)
+        return self.tracked[self._unchecked_in_round.pop()].member
 
     def is_isolated(self) -> bool:
         """Whether this process can't reach most of the other members that are listed in the store."""
@@ -167,8 +167,8 @@
             for tracked in self.tracked.values()
             if tracked.is_listed and tracked.member.address and tracked.member.key != self.own_key
         ]
-        lost_count = sum(tracked.is_failing_checks for tracked in others)
-        return len(others) >= ISOLATED_MIN_OTHERS and 2 * lost_count > len(others)
+        unreachable_count = sum(tracked.is_failing_checks for tracked in others)
+        return len(others) >= ISOLATED_MIN_OTHERS and 2 * unreachable_count > len(others)
 
     def build_report(self, now_us: int) -> ReachabilityReport:
         """Returns this process' own report."""
@@ -194,8 +194,8 @@
         return {key: tracked.status for key, tracked in self.tracked.items()}
 
     def _shuffle(self, keys: list[str]) -> list[str]:
-        self._rounds += 1
-        salt = f"{self.seed}:{self._rounds}"
+        self._round_count += 1
+        salt = f"{self.seed}:{self._round_count}"
         return sorted(keys, key=lambda key: zlib.crc32(f"{salt}:{key}".encode()))
 
     def _valid_reports(self) -> list[ReachabilityReport]:
@@ -212,18 +212,18 @@
     def _state(
         self, now_us: int, key: str, tracked: _TrackedMember, reports: list[ReachabilityReport]
     ) -> MemberState:
-        if tracked.record_gone_since_us is not None:
+        if tracked.record_deleted_at_us is not None:
             # The session may have ended only because the process was paused, so a member that still responds
             # is suspected and does not count as ended.
             responds = tracked.failed_checks == 0 and tracked.member.address != ""
-            gone_for_us = now_us - tracked.record_gone_since_us
-            has_ended = gone_for_us >= self.lost_after_us and not responds
+            deleted_for_us = now_us - tracked.record_deleted_at_us
+            has_ended = deleted_for_us >= self.lost_after_us and not responds
             return MemberState.ENDED if has_ended else MemberState.SUSPECTED
-        is_lost = tracked.is_failing_checks and now_us - tracked.failing_since_us >= self.lost_after_us
-        reported = sum(key in report.unreachable for report in reports)
-        is_confirmed = reported > 1 or (reported == 1 and is_lost)
-        if 2 * reported > len(reports) and is_confirmed:
+        is_unreachable = tracked.is_failing_checks and now_us - tracked.failing_since_us >= self.lost_after_us
+        confirming_reports = sum(key in report.unreachable for report in reports)
+        is_confirmed = confirming_reports > 1 or (confirming_reports == 1 and is_unreachable)
+        if 2 * confirming_reports > len(reports) and is_confirmed:
             return MemberState.UNREACHABLE_BY_MAJORITY
-        if is_lost:
+        if is_unreachable:
             return MemberState.UNREACHABLE_LOCALLY
         return MemberState.SUSPECTED if tracked.is_failing_checks else MemberState.ALIVE
--- a/gradehoist/coordination/session.py
+++ b/gradehoist/coordination/session.py
@@ -84,7 +84,7 @@
         self._records = records
         self._new_commit = new_commit
         self._notify = notify
-        self._joining: _JoinAttempt | None = None
+        self._join_attempt: _JoinAttempt | None = None
         self._member_session_id = ""  # the session that the member record belongs to
 
     @property
@@ -107,9 +107,9 @@
             return OpenSession(self.ttl_us)
         if self._member_session_id == self.session_id:
             return RenewSession(self.session_id)
-        if self._joining is None:
-            self._joining = self._build_join()
-        return self._joining.commit
+        if self._join_attempt is None:
+            self._join_attempt = self._build_join()
+        return self._join_attempt.commit
 
     def leave(self) -> None:
         """Schedules the end of the session, so that others need not wait for its expiry."""
@@ -126,7 +126,7 @@
         """Handles a new session. The process joins with it at once."""
         self.session_id = session_id
         self.valid_until_us = self.schedule.sent_at_us + self.ttl_us
-        self._joining = None
+        self._join_attempt = None
         self.schedule.next_at_us = now_us
 
     def on_renewed(self, session_id: str) -> None:
@@ -156,8 +156,8 @@
         Returns False if it was rejected because of a record that another process wrote. The cache is then out
         of date, or another process has claimed the name.
         """
-        attempt = self._joining
-        self._joining = None
+        attempt = self._join_attempt
+        self._join_attempt = None
         if attempt is None:
             return True
         if isinstance(response, CommitRejected) and not _was_committed_before(attempt.commit, response):
@@ -202,7 +202,7 @@
     def _clear(self) -> None:
         self.session_id = ""
         self.is_joined = False
-        self._joining = None
+        self._join_attempt = None
         self._member_session_id = ""
 
     def _build_join(self) -> _JoinAttempt:
--- a/gradehoist/history/linearizability.py
+++ b/gradehoist/history/linearizability.py
@@ -121,14 +121,14 @@
     def _on_completion(self, operation: Operation) -> None:
         reached: set[Configuration] = set()
         for configuration in self._configurations:
-            reached |= self._until_done(configuration, operation.index)
+            reached |= self._configurations_after(configuration, operation.index)
         self._configurations = {
             (state, done - {operation.index} | self._impossible_writes(state)) for state, done in reached
         }
         self._reads_in_flight.discard(operation.index)
         self._writes_in_flight.discard(operation.index)
 
-    def _until_done(self, start: Configuration, index: int) -> set[Configuration]:
+    def _configurations_after(self, start: Configuration, index: int) -> set[Configuration]:
         """Returns all configurations after an operation, reached by any of the writes in flight."""
         reached: set[Configuration] = set()
         seen = {start}
@@ -139,15 +139,17 @@
                 # Further writes in flight are searched at the completions that depend on them.
                 reached.add((state, done))
                 continue
-            for following in self._after_one_write(state, done):
-                if following not in seen:
-                    seen.add(following)
-                    to_visit.append(following)
+            for next_configuration in self._configurations_after_one_write(state, done):
+                if next_configuration not in seen:
+                    seen.add(next_configuration)
+                    to_visit.append(next_configuration)
         return reached
 
-    def _after_one_write(self, state: RecordState, done: frozenset[int]) -> list[Configuration]:
+    def _configurations_after_one_write(
+        self, state: RecordState, done: frozenset[int]
+    ) -> list[Configuration]:
         """Returns the configurations after any one write in flight and the reads that observed its state."""
-        following = []
+        configurations = []
         for index in self._writes_in_flight - done:
             write = self._operations[index]
             if write.written is None or not write.can_follow(state):
@@ -155,8 +157,8 @@
             reads = {
                 read for read in self._reads_in_flight if self._operations[read].observed == write.written
             }
-            following.append((write.written, done | {index} | reads))
-        return following
+            configurations.append((write.written, done | {index} | reads))
+        return configurations
 
     def _impossible_writes(self, state: RecordState) -> frozenset[int]:
         """Returns the writes of unknown outcome that can't take place any more.
--- a/gradehoist/membership/service.py
+++ b/gradehoist/membership/service.py
@@ -120,9 +120,9 @@
         self._running = asyncio.ensure_future(self._client.run())
         try:
             await asyncio.wait([self._running])
-            fault = self._running.exception()
-            if fault is not None:
-                self._on_failure(fault)
+            error = self._running.exception()
+            if error is not None:
+                self._on_failure(error)
         finally:
             self._running.cancel()
             await asyncio.gather(self._running, return_exceptions=True)
@@ -150,8 +150,8 @@
         """Propose a commit and return its id. If a record is too large, log that and return ""."""
         try:
             commit_id = self.participant.propose(*changes)
-        except RecordTooLargeError as fault:
-            self._log("record_rejected", True, reason=str(fault))
+        except RecordTooLargeError as error:
+            self._log("record_rejected", True, reason=str(error))
             return ""
         self._client.wake()
         return commit_id
@@ -181,9 +181,9 @@
             return ServerResponse(204)
         return error_response(410, f"this is {incarnation}")
 
-    def _on_failure(self, fault: BaseException) -> None:
+    def _on_failure(self, error: BaseException) -> None:
         """Log a bug in coordination, which must not end a process that works without it."""
-        self._log("coordination_failed", True, reason=repr(fault))
+        self._log("coordination_failed", True, reason=repr(error))
         for on_failure in self.failure_listeners:
             on_failure()
 
--- a/gradehoist/zones/health.py
+++ b/gradehoist/zones/health.py
@@ -223,17 +223,17 @@
         observed_zones = {zone for report in reports.values() for zone in report.observations}
         self.zones = sorted(observed_zones | {report.zone for report in reports.values()})
         self._observed = {zone: self._classify_zone(zone) for zone in self.zones}
-        self._weights = self._weigh_observers()
+        self._weights = self._compute_weights()
 
     def _classify_zone(self, zone: str) -> dict[str, ObservedState]:
-        found = dict[str, ObservedState]()
+        states = dict[str, ObservedState]()
         for observer, report in self._reports.items():
             state = classify_observation(report.observations.get(zone))
             if state is not None:
-                found[observer] = state
-        return found
+                states[observer] = state
+        return states
 
-    def _weigh_observers(self) -> dict[str, float]:
+    def _compute_weights(self) -> dict[str, float]:
         if not self._reports:
             return {}
         # Weights are capped at the median. With a cap of twice the median, one observer with a false report
