--- a/gradehoist/zones/coordinator.py
+++ b/gradehoist/zones/coordinator.py
@@ -34,7 +34,7 @@
 EXPLORATORY_SHARE = 0.02
 # Factor by which a governor's share of the traffic may exceed its allocated quota before its warm-up is
 # limited. A new allocation follows the traffic within some seconds.
-TRAFFIC_SWING = 1.15
+WARMUP_QUOTA_TOLERANCE = 1.15
 
 
 @dataclass(frozen=True)
@@ -183,14 +183,14 @@
         )
         traffic_share = requests_per_s / (others + requests_per_s) if requests_per_s > 0 else 0.0
         quota = self.allocation.quotas.get(self.incarnation, 0.0)
-        if traffic_share <= TRAFFIC_SWING * quota:
+        if traffic_share <= WARMUP_QUOTA_TOLERANCE * quota:
             return 1.0
         return round(QUOTA_STEPS * quota / traffic_share) / QUOTA_STEPS
 
     # Decisions of the leader
 
     def assess_health(self, now_us: int) -> FleetHealth:
-        """Assess all zones, and update since when each zone has been healthy and its capacity."""
+        """Assess all zones. Update their capacity estimates, and since when they have been healthy."""
         self.health = self._assessor.assess(now_us)
         reports = self._assessor.fresh_reports(now_us)
         for zone, state in self.health.zones.items():
@@ -232,9 +232,9 @@
                 admission_limits=self.plan.admission_limits,
             )
         reports = self._assessor.fresh_reports(now_us)
-        with_traffic = frozenset(o for o, report in reports.items() if report.requests_per_s > 0)
+        observers_with_traffic = frozenset(o for o, report in reports.items() if report.requests_per_s > 0)
         confirmed = {observer: report.applied_plan for observer, report in reports.items()}
-        if not is_step_confirmed(self.plan, confirmed, with_traffic):
+        if not is_step_confirmed(self.plan, confirmed, observers_with_traffic):
             return None
         conditions = FleetConditions(
             health=health,
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -174,8 +174,8 @@
             id="older snapshot",
         ),
         pytest.param(
-            history().read("b", at=(0, 1), shows=(4, "nobody:1")),
-            "read saw (4, 'nobody:1')",
+            history().read("b", at=(0, 1), shows=(4, "unknown:1")),
+            "read saw (4, 'unknown:1')",
             id="record that no process wrote",
         ),
         pytest.param(
