--- a/gradehoist/zones/evacuation_steps.py
+++ b/gradehoist/zones/evacuation_steps.py
@@ -217,8 +217,8 @@
         )
 
     def _may_recover(self, zone: str, state: ZoneState) -> bool:
-        # At a small site an evacuated zone gets too little traffic to be observed. The zone then recovers by
-        # a step, whose traffic shows whether it is healthy.
+        # At a small site an evacuated zone gets too little traffic to be observed. An unobserved zone may
+        # therefore take a step of recovery, whose traffic then shows whether the zone is healthy.
         if state not in (ZoneState.HEALTHY, ZoneState.UNOBSERVED):
             return False
         required_us = self._evacuations[zone].required_healthy_us
