--- a/tests/support/interleavings.py
+++ b/tests/support/interleavings.py
@@ -1,7 +1,8 @@
-"""A tiny fleet under a virtual clock, on the governor's core, the module and the relays' real feed state.
+"""A small fleet under a virtual clock: the real governor core, policies and feed state of the proxies.
 
-The checker keeps its own books: what the roster told and when, what relays hold, what they would send, what
-was put into each channel. It asks neither module nor core. `explore` plays all orders of some events.
+The checker keeps its own records: what the endpoint list said and when, which tables the proxies hold, what
+they would send, and what was put into each channel. It queries neither the policies nor the core.
+`explore_orders` runs every order of the given events and checks the rules after each step.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 from itertools import chain
 
-from gradehoist import interface as i
+from gradehoist import interface
 from gradehoist.governor.channel import Channel
 from gradehoist.governor.core import GovernorCore
 from gradehoist.governor.errors import RequestRejectedError
@@ -24,128 +25,144 @@
 from gradehoist.protocol.proxy_state import ProxyState
 from tests.support.governed_fleet import SECOND_US, make_endpoint, make_settings
 
-TICK = 50_000
-GAP = 400_000  # between events: shorter than a period, longer than a message's way
-TAIL = 5 * SECOND_US  # after the last one: grace and bare limit can both run out
-QUEUE, RATE = 150.0, 500.0
-DEMAND = 0.9  # of one warm replica's capacity, from each relay
+TICK_US = 50_000
+EVENT_INTERVAL_US = 400_000  # shorter than a load report period, longer than a message takes to a proxy
+FINAL_RUN_US = 5 * SECOND_US  # after the last event; longer than the grace period and the unroutable limit
+QUEUE_LIMIT_LINES, LINES_PER_S = 150.0, 500.0
+DEMAND = 0.9  # load from each proxy, as a share of the capacity of one warm replica
 CLASSES = ("read", "write")
-Spoil = Callable[["Site", list[i.Order]], list[i.Order]]
+OrderFault = Callable[["InterleavedFleet", list[interface.Order]], list[interface.Order]]
 
 
-class Broken(AssertionError):
+class RuleViolation(AssertionError):
     pass
 
 
-class Watched(Channel):
-    """The real channel, with a book of its own of what was put: the limits come from the settings."""
+class AuditedChannel(Channel):
+    """The real channel, with independent records of all queued messages and the limits of the settings."""
 
-    def watch(self, most: float, rate: float, number: int, window: int) -> Watched:
-        self.told = (most, rate, number, window)
-        self.book: list[tuple[float, int, float, int]] = []  # out at, proxy, lines, put at
-        self.put_at: dict[int, list[int]] = {}
-        self.out_at = 0.0
+    def start_audit(
+        self, queue_limit_lines: float, lines_per_s: float, messages_per_window: int, window_us: int
+    ) -> AuditedChannel:
+        self.limits = (queue_limit_lines, lines_per_s, messages_per_window, window_us)
+        # Release time, proxy, lines and queueing time of each message in the queue.
+        self.records: list[tuple[float, int, float, int]] = []
+        self.audited_put_times_us: dict[int, list[int]] = {}
+        self.last_release_us = 0.0
         return self
 
-    def _out(self, put: int, cost: float) -> float:
-        self.out_at = max(self.out_at, put) + cost / self.told[1] * 1e6
-        return self.out_at
+    def _schedule_release(self, queued_us: int, cost_lines: float) -> float:
+        self.last_release_us = max(self.last_release_us, queued_us) + cost_lines / self.limits[1] * 1e6
+        return self.last_release_us
 
     def add_proxy(self, proxy: int) -> None:
         super().add_proxy(proxy)
-        self.put_at[proxy] = []
+        self.audited_put_times_us[proxy] = []
 
     def remove_proxy(self, proxy: int) -> None:
         super().remove_proxy(proxy)
-        if self.book:  # those behind move up
-            out, first, cost, _ = self.book[0]
-            self.out_at = 0.0 if first == proxy else out - cost / self.told[1] * 1e6
-        self.book = [b for b in self.book if b[1] != proxy]
-        self.book = [(self._out(b[3], b[2]), *b[1:]) for b in self.book]
+        if self.records:  # the remaining messages are released earlier
+            release_us, first, cost_lines, _ = self.records[0]
+            self.last_release_us = 0.0 if first == proxy else release_us - cost_lines / self.limits[1] * 1e6
+        self.records = [record for record in self.records if record[1] != proxy]
+        self.records = [
+            (self._schedule_release(record[3], record[2]), *record[1:]) for record in self.records
+        ]
 
     def put(self, now_us: int, proxy: int, stream: int, message: feed.Message) -> str | None:
-        now = now_us
-        why = super().put(now, proxy, stream, message)
-        if why:
-            return why
-        most, _, number, window = self.told
+        time_us = now_us
+        rejection = super().put(time_us, proxy, stream, message)
+        if rejection:
+            return rejection
+        queue_limit_lines, _, messages_per_window, window_us = self.limits
         lines = 4 + sum(1 + len(d.weights) if isinstance(d, feed.BindDelta) else 1 for d in message.deltas)
-        cost = max(message.cost_lines, lines)
-        self.book = [b for b in self.book if b[0] > now]
-        self.book.append((self._out(now, cost), proxy, cost, now))
-        self.put_at[proxy] = [t for t in self.put_at[proxy] if t > now - window] + [now]
-        if (waits := sum(b[2] for b in self.book)) > most:
-            raise Broken(f"rule 5: {waits:g} lines wait, {most:g} may")
-        if number and len(self.put_at[proxy]) > number:
-            raise Broken(f"rule 5: {len(self.put_at[proxy])} messages to proxy {proxy} within the window")
+        cost_lines = max(message.cost_lines, lines)
+        self.records = [record for record in self.records if record[0] > time_us]
+        self.records.append((self._schedule_release(time_us, cost_lines), proxy, cost_lines, time_us))
+        self.audited_put_times_us[proxy] = [
+            put_us for put_us in self.audited_put_times_us[proxy] if put_us > time_us - window_us
+        ] + [time_us]
+        if (waiting_lines := sum(record[2] for record in self.records)) > queue_limit_lines:
+            raise RuleViolation(
+                f"rule 5: {waiting_lines:g} lines are queued, the limit is {queue_limit_lines:g}"
+            )
+        if messages_per_window and len(self.audited_put_times_us[proxy]) > messages_per_window:
+            raise RuleViolation(
+                f"rule 5: {len(self.audited_put_times_us[proxy])} messages to proxy {proxy} within the window"
+            )
         return None
 
 
 @dataclass
-class Governor:
+class AuditedGovernor:
     core: GovernorCore
-    modules: PolicyHost
-    phase: dict[str, tuple[str, int]] = field(default_factory=dict)  # as the roster told it, since when
-    start: dict[str, tuple[int, int]] = field(default_factory=dict)  # its start, and when that was told
-    probes: list[tuple[int, int]] = field(default_factory=list)
+    policies: PolicyHost
+    # The phase of each replica in the lists that this governor was sent, and the time since when.
+    phase: dict[str, tuple[str, int]] = field(default_factory=dict)
+    # The start time of each replica, and the time when this governor was notified of it.
+    start: dict[str, tuple[int, int]] = field(default_factory=dict)
+    health_checks: list[tuple[int, int]] = field(default_factory=list)  # due time and replica
 
 
 @dataclass
-class Relay:
+class AuditedProxy:
     name: str
     zone: str
-    at: int  # the governor that it follows
-    holdings: ProxyState = field(default_factory=ProxyState)
+    governor_index: int  # the governor that it follows
+    state: ProxyState = field(default_factory=ProxyState)
     epoch: str = ""
     stream: int = 0
-    after: int = 0
-    joined: int = -1  # since when, by its own knowledge
-    last: int = 0  # the order time of the last message applied
-    way: int = 20_000
-    deaf: bool = False
-    answer: tuple[int, feed.PollResponse] | None = None
-    dials: int = 0
-    bare: dict[str, int] = field(default_factory=dict)
-
-
-class Site:
-    def __init__(self, governors: int, spoil: Spoil | None = None) -> None:
-        found = make_settings(2, QUEUE, RATE)
-        # A short span and a long cold time: otherwise no weights could push over what so small a fleet has.
-        rules = replace(found.fleet.safety, warmup_us=10 * SECOND_US, overload_window_us=SECOND_US)
-        self.settings = replace(found, fleet=replace(found.fleet, safety=rules))
-        self.rules, self.spoil = rules, spoil
-        self.now, self.lives, self.done = 100 * SECOND_US, 0, list[str]()
-        self.replicas = {f"w{n}": make_endpoint(n) for n in range(3)}
-        self.started = dict.fromkeys(self.replicas, 0)
+    applied_seq: int = 0
+    joined_us: int = -1  # when it joined, by its own knowledge; -1 while it has no stream
+    last_message_us: int = 0  # creation time of the last message that it applied
+    latency_us: int = 20_000
+    withholds_acknowledgements: bool = False
+    answer: tuple[int, feed.PollResponse] | None = None  # with its arrival time
+    next_poll_us: int = 0
+    unroutable_since_us: dict[str, int] = field(default_factory=dict)  # by request class
+
+
+class InterleavedFleet:
+    def __init__(self, governor_count: int, fault: OrderFault | None = None) -> None:
+        settings = make_settings(2, QUEUE_LIMIT_LINES, LINES_PER_S)
+        # A short overload window and a long warm-up: otherwise no weights could overload so small a fleet.
+        safety = replace(settings.fleet.safety, warmup_us=10 * SECOND_US, overload_window_us=SECOND_US)
+        self.settings = replace(settings, fleet=replace(settings.fleet, safety=safety))
+        self.safety, self.fault = safety, fault
+        self.now_us, self.incarnation_count, self.events = 100 * SECOND_US, 0, list[str]()
+        self.endpoints = {f"w{n}": make_endpoint(n) for n in range(3)}
+        self.started_us = dict.fromkeys(self.endpoints, 0)
         self.failing: set[str] = set()
-        self.sent: dict[str, deque[tuple[int, float, bool]]] = defaultdict(deque)
-        self.governors = [self._governor() for _ in range(governors)]
-        self.relays = [Relay(f"r{n}", "xy"[n % 2], n % governors) for n in range(2)]
-        for relay in self.relays:
-            relay.holdings.install_default_tables({c: {"w0": 1.0, "w1": 1.0} for c in CLASSES})
+        # The recent load on each replica: time, work, and whether the proxy could know of its last start.
+        self.sent_work: dict[str, deque[tuple[int, float, bool]]] = defaultdict(deque)
+        self.governors = [self._start_governor() for _ in range(governor_count)]
+        self.proxies = [AuditedProxy(f"r{n}", "xy"[n % 2], n % governor_count) for n in range(2)]
+        for proxy in self.proxies:
+            proxy.state.install_default_tables({c: {"w0": 1.0, "w1": 1.0} for c in CLASSES})
         self.run(3 * SECOND_US)
-        for relay in self.relays:
-            if not relay.holdings.is_bound:
-                raise Broken("not bound")
+        for proxy in self.proxies:
+            if not proxy.state.is_bound:
+                raise RuleViolation(f"{proxy.name} was not bound")
 
-    def _governor(self) -> Governor:
-        self.lives += 1
+    def _start_governor(self) -> AuditedGovernor:
+        self.incarnation_count += 1
         fleet = self.settings.fleet
-        core = GovernorCore(fleet, self.settings.governors[0], f"e{self.lives}", self.now)
-        ch = fleet.channel
-        core.publisher.channel = Watched(
-            queue_limit_lines=ch.queue_limit_lines,
-            lines_per_s=ch.lines_per_s,
-            messages_per_window=ch.messages_per_window,
-            window_us=ch.message_window_us,
-        ).watch(ch.queue_limit_lines, ch.lines_per_s, ch.messages_per_window, ch.message_window_us)
-        made = Governor(core, PolicyHost(core.policy_configs, self.now, False))
-        self._tell(made)
-        return made
-
-    def _tell(self, governor: Governor) -> None:
-        """The whole list, of a life of the roster for each time: what is left out has gone."""
+        core = GovernorCore(fleet, self.settings.governors[0], f"e{self.incarnation_count}", self.now_us)
+        limits = fleet.channel
+        core.publisher.channel = AuditedChannel(
+            queue_limit_lines=limits.queue_limit_lines,
+            lines_per_s=limits.lines_per_s,
+            messages_per_window=limits.messages_per_window,
+            window_us=limits.message_window_us,
+        ).start_audit(
+            limits.queue_limit_lines, limits.lines_per_s, limits.messages_per_window, limits.message_window_us
+        )
+        governor = AuditedGovernor(core, PolicyHost(core.policy_configs, self.now_us, False))
+        self._send_endpoints(governor)
+        return governor
+
+    def _send_endpoints(self, governor: AuditedGovernor) -> None:
+        """Sends a snapshot, each time of a new incarnation of the list service; a missing replica is gone."""
         listed = tuple(
             feed.EndpointRecord(
                 e.replica,
@@ -156,241 +173,278 @@
                 e.phase,
                 1.0,
                 e.incarnation,
-                self.now - self.started[e.replica] if self.started[e.replica] else 10**9,
+                self.now_us - self.started_us[e.replica] if self.started_us[e.replica] else 10**9,
             )
-            for e in self.replicas.values()
+            for e in self.endpoints.values()
             if e.phase != "gone"
         )
-        self.lives += 1
+        self.incarnation_count += 1
         governor.core.handle_endpoint_list(
-            self.now, feed.EndpointListUpdate(f"l{self.lives}", 1, listed, True)
+            self.now_us, feed.EndpointListUpdate(f"l{self.incarnation_count}", 1, listed, True)
         )
-        for name, e in self.replicas.items():
+        for name, e in self.endpoints.items():
             if governor.phase.get(name, ("", 0))[0] != e.phase:
-                shut = governor.phase.get(name, ("ready", 0))
-                since = shut[1] if shut[0] != "ready" and e.phase != "ready" else self.now
-                governor.phase[name] = (e.phase, since)
-            if governor.start.get(name, (-1, 0))[0] != self.started[name]:
-                governor.start[name] = (self.started[name], self.now)
+                known = governor.phase.get(name, ("ready", 0))
+                since_us = known[1] if known[0] != "ready" and e.phase != "ready" else self.now_us
+                governor.phase[name] = (e.phase, since_us)
+            if governor.start.get(name, (-1, 0))[0] != self.started_us[name]:
+                governor.start[name] = (self.started_us[name], self.now_us)
 
     # Events
 
-    def event(self, word: str) -> None:
-        self.done.append(word)
-        what, _, name = word.partition(" ")
-        relay = next((r for r in self.relays if r.name == name), self.relays[0])
-        match what:
+    def apply_event(self, event: str) -> None:
+        self.events.append(event)
+        kind, _, name = event.partition(" ")
+        proxy = next((p for p in self.proxies if p.name == name), self.proxies[0])
+        match kind:
             case "drain" | "gone":
-                self._list(name, "draining" if what == "drain" else "gone")
-            case "back":  # also a restart that was never seen to go
-                self.started[name] = self.now
-                self._list(name, "ready", int(self.replicas[name].incarnation.partition("/")[2]) + 1)
-            case "fails":
+                self._update_endpoint(name, "draining" if kind == "drain" else "gone")
+            case "return":  # this includes a restart during which the replica was never listed as gone
+                self.started_us[name] = self.now_us
+                self._update_endpoint(
+                    name, "ready", int(self.endpoints[name].incarnation.partition("/")[2]) + 1
+                )
+            case "toggle-failure":
                 self.failing ^= {name}
-            case "deaf":
-                relay.deaf = not relay.deaf
-            case "late":
-                relay.way = 500_000
-            case "redial":
-                self._lost(relay)
-                relay.at = (relay.at + 1) % len(self.governors)
-            case "leaves":
-                self._lost(relay)
-                relay.dials = self.now + SECOND_US
-            case "restart":
-                for one in [r for r in self.relays if r.at == int(name)]:
-                    one.joined, one.answer, one.dials = -1, None, self.now + 100_000
-                self.governors[int(name)] = self._governor()
-            case "period":
+            case "toggle-acknowledgements":
+                proxy.withholds_acknowledgements = not proxy.withholds_acknowledgements
+            case "slow-down":
+                proxy.latency_us = 500_000
+            case "change-governor":
+                self._disconnect(proxy)
+                proxy.governor_index = (proxy.governor_index + 1) % len(self.governors)
+            case "disconnect":
+                self._disconnect(proxy)
+                proxy.next_poll_us = self.now_us + SECOND_US
+            case "restart-governor":
+                for follower in [p for p in self.proxies if p.governor_index == int(name)]:
+                    follower.joined_us, follower.answer, follower.next_poll_us = (
+                        -1,
+                        None,
+                        self.now_us + 100_000,
+                    )
+                self.governors[int(name)] = self._start_governor()
+            case "wait":
                 self.run(SECOND_US)
             case _:
-                raise ValueError(word)
-        self.run(GAP)
+                raise ValueError(event)
+        self.run(EVENT_INTERVAL_US)
 
-    def _list(self, name: str, phase: str, boot: int = 0) -> None:
-        old = self.replicas[name]
-        number = boot or int(old.incarnation.partition("/")[2])
-        self.replicas[name] = make_endpoint(int(name[1:]), phase, number)
+    def _update_endpoint(self, name: str, phase: str, boot_number: int = 0) -> None:
+        old = self.endpoints[name]
+        number = boot_number or int(old.incarnation.partition("/")[2])
+        self.endpoints[name] = make_endpoint(int(name[1:]), phase, number)
         for governor in self.governors:
-            self._tell(governor)
+            self._send_endpoints(governor)
 
-    def _lost(self, relay: Relay) -> None:
-        core = self.governors[relay.at].core
-        core.remove_proxy(core.identifiers.proxies.get(relay.name, -1), "its connection closed")
-        relay.joined, relay.answer, relay.dials = -1, None, self.now + 100_000
+    def _disconnect(self, proxy: AuditedProxy) -> None:
+        core = self.governors[proxy.governor_index].core
+        core.remove_proxy(core.identifiers.proxies.get(proxy.name, -1), "its connection closed")
+        proxy.joined_us, proxy.answer, proxy.next_poll_us = -1, None, self.now_us + 100_000
 
     # Time
 
-    def run(self, span: int) -> None:
-        end = self.now + span
-        while self.now < end:
-            self.now += TICK
-            for relay in self.relays:
-                self._relay(relay)
+    def run(self, duration_us: int) -> None:
+        end_us = self.now_us + duration_us
+        while self.now_us < end_us:
+            self.now_us += TICK_US
+            for proxy in self.proxies:
+                self._run_proxy(proxy)
             for governor in self.governors:
-                self._govern(governor)
-            self._check()
-
-    def _relay(self, relay: Relay) -> None:
-        if relay.answer and relay.answer[0] <= self.now:
-            self._take(relay, relay.answer[1])
-            relay.answer = None
-        if relay.answer is None and relay.dials <= self.now:
-            after = 0 if relay.deaf else relay.after
-            poll = FeedPoll(relay.name, relay.zone, 5.0, relay.epoch, relay.stream, after)
+                self._run_governor(governor)
+            self._check_rules()
+
+    def _run_proxy(self, proxy: AuditedProxy) -> None:
+        if proxy.answer and proxy.answer[0] <= self.now_us:
+            self._apply_answer(proxy, proxy.answer[1])
+            proxy.answer = None
+        if proxy.answer is None and proxy.next_poll_us <= self.now_us:
+            acknowledged_seq = 0 if proxy.withholds_acknowledgements else proxy.applied_seq
+            poll = FeedPoll(proxy.name, proxy.zone, 5.0, proxy.epoch, proxy.stream, acknowledged_seq)
             try:
-                answer = self.governors[relay.at].core.handle_poll(self.now, poll)
+                answer = self.governors[proxy.governor_index].core.handle_poll(self.now_us, poll)
             except RequestRejectedError:
-                relay.joined, relay.epoch, relay.dials = -1, "", self.now + 100_000
+                proxy.joined_us, proxy.epoch, proxy.next_poll_us = -1, "", self.now_us + 100_000
                 return
             if answer is not None:
-                relay.answer = (self.now + relay.way, answer)
-        if self.now % SECOND_US < TICK and relay.joined >= 0:
-            tries = tuple(
+                proxy.answer = (self.now_us + proxy.latency_us, answer)
+        if self.now_us % SECOND_US < TICK_US and proxy.joined_us >= 0:
+            attempts = tuple(
                 feed.ReplicaAttempts(w, 6, 6 * (w in self.failing), 200_000, 0.5, 2.0)
-                for w in relay.holdings.weights_for("read")
+                for w in proxy.state.weights_for("read")
             )
-            came = tuple(feed.ClassRequests(c, 10) for c in CLASSES)
+            requests = tuple(feed.ClassRequests(c, 10) for c in CLASSES)
             with suppress(RequestRejectedError):
-                self.governors[relay.at].core.handle_load_report(
-                    feed.ProxyLoadReport(relay.name, relay.epoch, SECOND_US, tries, came)
+                self.governors[proxy.governor_index].core.handle_load_report(
+                    feed.ProxyLoadReport(proxy.name, proxy.epoch, SECOND_US, attempts, requests)
                 )
 
-    def _take(self, relay: Relay, answer: feed.PollResponse) -> None:
-        if (answer.epoch, answer.stream) != (relay.epoch, relay.stream):
-            relay.epoch, relay.stream, relay.after, relay.joined = answer.epoch, answer.stream, 0, self.now
-            relay.holdings.begin_stream()
+    def _apply_answer(self, proxy: AuditedProxy, answer: feed.PollResponse) -> None:
+        if (answer.epoch, answer.stream) != (proxy.epoch, proxy.stream):
+            proxy.epoch, proxy.stream, proxy.applied_seq, proxy.joined_us = (
+                answer.epoch,
+                answer.stream,
+                0,
+                self.now_us,
+            )
+            proxy.state.begin_stream()
         for message in answer.messages:
-            if message.seq > relay.after:
-                relay.holdings.apply(message)
-                relay.after, relay.last = message.seq, message.created_us
-
-    def _govern(self, g: Governor) -> None:
-        for at, replica in [p for p in g.probes if p[0] <= self.now]:
-            name = g.core.identifiers.replicas.names[replica]
-            good = name not in self.failing and self.replicas[name].phase == "ready"
-            g.core.handle_health_check(
+            if message.seq > proxy.applied_seq:
+                proxy.state.apply(message)
+                proxy.applied_seq, proxy.last_message_us = message.seq, message.created_us
+
+    def _run_governor(self, governor: AuditedGovernor) -> None:
+        for due_us, replica in [check for check in governor.health_checks if check[0] <= self.now_us]:
+            name = governor.core.identifiers.replicas.names[replica]
+            is_healthy = name not in self.failing and self.endpoints[name].phase == "ready"
+            governor.core.handle_health_check(
                 replica,
-                i.HealthCheckOutcome.HEALTHY if good else i.HealthCheckOutcome.TIMED_OUT,
-                self.now - at,
+                interface.HealthCheckOutcome.HEALTHY
+                if is_healthy
+                else interface.HealthCheckOutcome.TIMED_OUT,
+                self.now_us - due_us,
                 None,
             )
-            g.probes.remove((at, replica))
-        g.core.advance(self.now)
-        if batches := g.core.take_batches():
+            governor.health_checks.remove((due_us, replica))
+        governor.core.advance(self.now_us)
+        if batches := governor.core.take_batches():
             replies = [
                 PolicyReply(
                     policy=reply.policy,
-                    orders=self.spoil(self, reply.orders) if self.spoil else reply.orders,
+                    orders=self.fault(self, reply.orders) if self.fault else reply.orders,
                     reasons=reply.reasons,
                 )
-                for reply in g.modules.handle(self.now, batches)
+                for reply in governor.policies.handle(self.now_us, batches)
             ]
-            g.core.apply_replies(self.now, replies)
-        g.probes += [(self.now + 100_000, n) for n in g.core.pending_health_checks]
-        g.core.pending_health_checks.clear()
-        g.core.log.take()
+            governor.core.apply_replies(self.now_us, replies)
+        governor.health_checks += [(self.now_us + 100_000, n) for n in governor.core.pending_health_checks]
+        governor.core.pending_health_checks.clear()
+        governor.core.log.take()
 
-    # The rules, by what was told, held and sent
+    # The five safety rules, checked on what was listed, held by the proxies and sent
 
-    def warm(self, g: Governor, but: str = "") -> bool:
+    def has_warm_replica(self, governor: AuditedGovernor, excluded: str = "") -> bool:
         return any(
-            phase == "ready" and n != but and g.start[n][0] <= self.now - self.rules.warmup_us
-            for n, (phase, _) in g.phase.items()
+            phase == "ready" and n != excluded and governor.start[n][0] <= self.now_us - self.safety.warmup_us
+            for n, (phase, _) in governor.phase.items()
         )
 
-    def _check(self) -> None:
-        for relay in self.relays:
-            g = self.governors[relay.at]
-            for cls in CLASSES:
-                lines = relay.holdings.weights_for(cls)
-                if relay.joined >= 0:
-                    self._rules_1_and_3(relay, g, cls, lines)
-                share, way = relay.holdings.admission_for(cls, 1)
-                # The first try's answer is lost after the work: another one only where that was ordered.
-                if cls == "write" and way >= 2 and len(lines) > 1 and relay.holdings.is_bound:
-                    raise Broken(f"rule 2: a write of {relay.name} takes effect twice by way {way}")
-                total = sum(lines.values())
-                for name, weight in lines.items():
-                    knows = relay.joined >= 0 and self._knows(relay, g, name)
-                    work = DEMAND / len(CLASSES) * min(1.0, share) * TICK * weight / total
-                    self.sent[name].append((self.now, work, knows))
-        for name, some in self.sent.items():
-            self._rule_4(name, some)
-
-    def _rules_1_and_3(self, relay: Relay, g: Governor, cls: str, lines: dict[str, float]) -> None:
-        for name in lines:
-            phase, since = g.phase.get(name, ("ready", 0))
-            late = self.now - max(since, relay.joined)
-            if phase != "ready" and late > self.rules.drain_grace_us:
-                raise Broken(f"rule 3: {relay.name} still sends to {name}, {phase} for {late / 1e6:.2f} s")
-        if lines or not self.warm(g):
-            relay.bare.pop(cls, None)
-        elif self.now - relay.bare.setdefault(cls, self.now) > self.rules.unroutable_limit_us:
-            raise Broken(f"rule 1: {relay.name} has had nothing to pick for {cls} for over the limit")
-
-    def _knows(self, relay: Relay, g: Governor, name: str) -> bool:
-        told = g.start[name][1]
-        return relay.last > told or self.now - max(told, relay.joined) > self.rules.drain_grace_us
-
-    def _rule_4(self, name: str, some: deque[tuple[int, float, bool]]) -> None:
-        while some and some[0][0] <= self.now - self.rules.overload_window_us:
-            some.popleft()
-        age = self.now - self.started[name]
+    def _check_rules(self) -> None:
+        for proxy in self.proxies:
+            governor = self.governors[proxy.governor_index]
+            for request_class in CLASSES:
+                weights = proxy.state.weights_for(request_class)
+                if proxy.joined_us >= 0:
+                    self._check_rules_1_and_3(proxy, governor, request_class, weights)
+                share, retry_policy = proxy.state.admission_for(request_class, 1)
+                # If the answer to an attempt is lost after the work was done, the write must not be retried.
+                if (
+                    request_class == "write"
+                    and retry_policy >= 2
+                    and len(weights) > 1
+                    and proxy.state.is_bound
+                ):
+                    raise RuleViolation(
+                        f"rule 2: a write of {proxy.name} takes effect twice with retry policy {retry_policy}"
+                    )
+                total = sum(weights.values())
+                for name, weight in weights.items():
+                    knows_start = proxy.joined_us >= 0 and self._knows_start(proxy, governor, name)
+                    work = DEMAND / len(CLASSES) * min(1.0, share) * TICK_US * weight / total
+                    self.sent_work[name].append((self.now_us, work, knows_start))
+        for name, samples in self.sent_work.items():
+            self._check_rule_4(name, samples)
+
+    def _check_rules_1_and_3(
+        self, proxy: AuditedProxy, governor: AuditedGovernor, request_class: str, weights: dict[str, float]
+    ) -> None:
+        for name in weights:
+            phase, since_us = governor.phase.get(name, ("ready", 0))
+            late_us = self.now_us - max(since_us, proxy.joined_us)
+            if phase != "ready" and late_us > self.safety.drain_grace_us:
+                raise RuleViolation(
+                    f"rule 3: {proxy.name} still sends to {name}, {phase} for {late_us / 1e6:.2f} s"
+                )
+        if weights or not self.has_warm_replica(governor):
+            proxy.unroutable_since_us.pop(request_class, None)
+        elif (
+            self.now_us - proxy.unroutable_since_us.setdefault(request_class, self.now_us)
+            > self.safety.unroutable_limit_us
+        ):
+            raise RuleViolation(
+                f"rule 1: {proxy.name} has had no replica for {request_class} for longer than the limit"
+            )
+
+    def _knows_start(self, proxy: AuditedProxy, governor: AuditedGovernor, name: str) -> bool:
+        """Whether the proxy could know of the last start, by a message or after the grace period."""
+        notified_us = governor.start[name][1]
+        return (
+            proxy.last_message_us > notified_us
+            or self.now_us - max(notified_us, proxy.joined_us) > self.safety.drain_grace_us
+        )
+
+    def _check_rule_4(self, name: str, samples: deque[tuple[int, float, bool]]) -> None:
+        while samples and samples[0][0] <= self.now_us - self.safety.overload_window_us:
+            samples.popleft()
+        age_us = self.now_us - self.started_us[name]
         if (
-            not self.started[name]
-            or age >= self.rules.warmup_us
-            or not all(self.warm(g, name) for g in self.governors)
+            not self.started_us[name]
+            or age_us >= self.safety.warmup_us
+            or not all(self.has_warm_replica(governor, name) for governor in self.governors)
         ):
-            return  # warm, or nothing else is there to send to
-        mine = [x for x in some if x[0] > self.started[name]]
-        cold = self.rules.warmup_start_capacity
-        budget = (
-            self.rules.overload_multiple
-            * (cold + (1 - cold) * age / self.rules.warmup_us)
-            * self.rules.overload_window_us
+            return  # the replica is warm, or there is no other warm replica
+        since_start = [sample for sample in samples if sample[0] > self.started_us[name]]
+        start_capacity = self.safety.warmup_start_capacity
+        work_limit = (
+            self.safety.overload_multiple
+            * (start_capacity + (1 - start_capacity) * age_us / self.safety.warmup_us)
+            * self.safety.overload_window_us
         )
-        work = sum(x[1] for x in mine)
-        if work > budget and sum(x[1] for x in mine if x[2]) >= work * 2 / 3:
-            raise Broken(
-                f"rule 4: {name}, cold for {age / 1e6:.2f} s, is sent {work / budget:.2f} of what "
-                "pushes it over"
+        work = sum(sample[1] for sample in since_start)
+        if work > work_limit and sum(sample[1] for sample in since_start if sample[2]) >= work * 2 / 3:
+            raise RuleViolation(
+                f"rule 4: {name}, started {age_us / 1e6:.2f} s ago, is sent {work / work_limit:.2f} times "
+                "the work that overloads it"
             )
 
 
-def explore(governors: int, events: Iterable[str], depth: int, spoil: Spoil | None = None) -> int:
-    """Plays all orders of `depth` different events and checks the rules at each step; how many orders.
-    Raises Broken with the order's steps."""
-    words, count = tuple(events), 0
+def explore_orders(
+    governor_count: int, events: Iterable[str], depth: int, fault: OrderFault | None = None
+) -> int:
+    """Runs all orders of `depth` different events, checks the rules at each step and returns their number.
+
+    Raises RuleViolation with the steps of the order.
+    """
+    all_events, count = tuple(events), 0
 
-    def go(state: bytes, left: tuple[str, ...], depth: int) -> None:
+    def extend(state: bytes, remaining: tuple[str, ...], depth: int) -> None:
         nonlocal count
-        for word in left:
-            site: Site = pickle.loads(state)
+        for event in remaining:
+            fleet: InterleavedFleet = pickle.loads(state)
             try:
-                site.event(word)
+                fleet.apply_event(event)
                 if depth > 1:
-                    go(pickle.dumps(site), tuple(w for w in left if w != word), depth - 1)
+                    extend(pickle.dumps(fleet), tuple(e for e in remaining if e != event), depth - 1)
                 else:
-                    site.run(TAIL)
+                    fleet.run(FINAL_RUN_US)
                     count += 1
-            except Broken as fault:
-                if "order:" in str(fault):
+            except RuleViolation as violation:
+                if "order:" in str(violation):
                     raise
-                raise Broken(f"{fault}; order: {', '.join(site.done)}") from None
+                raise RuleViolation(f"{violation}; order: {', '.join(fleet.events)}") from None
 
     try:
-        start = pickle.dumps(Site(governors, spoil))
-    except Broken as fault:
-        raise Broken(f"{fault}; order: none yet") from None
-    go(start, words, depth)
+        start = pickle.dumps(InterleavedFleet(governor_count, fault))
+    except RuleViolation as violation:
+        raise RuleViolation(f"{violation}; order: none yet") from None
+    extend(start, all_events, depth)
     return count
 
 
-def play(governors: int, *events: str, spoil: Spoil | None = None) -> Site:
-    """One order, as a plain test of what `explore` found."""
-    site = Site(governors, spoil)
-    for word in chain(events):
-        site.event(word)
-    site.run(TAIL)
-    return site
+def run_events(governor_count: int, *events: str, fault: OrderFault | None = None) -> InterleavedFleet:
+    """Runs one order of events, to turn a violation that `explore_orders` found into a plain test."""
+    fleet = InterleavedFleet(governor_count, fault)
+    for event in chain(events):
+        fleet.apply_event(event)
+    fleet.run(FINAL_RUN_US)
+    return fleet
