--- a/tests/support/governed_fleet.py
+++ b/tests/support/governed_fleet.py
@@ -1,4 +1,4 @@
-"""A governor's core with the real module and simple relays under a virtual clock."""
+"""A governor core with real policies and simulated proxies, under a virtual clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from gradehoist.governor.proxy_sessions import FeedPoll
 from gradehoist.protocol import feed
 from gradehoist.protocol.proxy_state import ProxyState
-from gradehoist.settings import reader as r
+from gradehoist.settings import reader as settings_reader
 from gradehoist.settings.fleet import CellPlacement, Settings
 from gradehoist.settings.fleet_parser import parse_settings
 
@@ -36,13 +36,13 @@
 def make_settings(
     proxy_count: int = 10, queue_limit_lines: float = 2000, lines_per_s: float = 2000
 ) -> Settings:
-    reader = r.SettingsReader("test")
+    reader = settings_reader.SettingsReader("test")
     root = reader.parse(
         SETTINGS_TEMPLATE.format(relays=proxy_count, queue=queue_limit_lines, rate=lines_per_s)
     )
-    found = parse_settings(root, Path("."))
+    settings = parse_settings(root, Path("."))
     reader.raise_errors()
-    return found
+    return settings
 
 
 def make_loopback_settings(
@@ -52,16 +52,19 @@
     placement: CellPlacement | None = None,
     extra_cell_settings: str = "",
 ) -> Settings:
-    """Settings of one governor on loopback ports; with a placement, `more` beside its file's name."""
+    """Returns settings of one governor on loopback ports.
+
+    With a placement, `extra_cell_settings` are added to the line that names its file.
+    """
     text = SETTINGS_TEMPLATE.format(relays=4, queue=2000, rate=2000)
     text = text.replace(":7000", f":{endpoint_list_port}").replace(":7101", f":{governor_port}")
     if placement is not None:
         (folder / "p.json").write_bytes(msgspec.json.encode(placement))
         text = text.replace("    reports", f'    cells placement="p.json" {extra_cell_settings}\n    reports')
-    reader = r.SettingsReader("test")
-    found = parse_settings(reader.parse(text), folder)
+    reader = settings_reader.SettingsReader("test")
+    settings = parse_settings(reader.parse(text), folder)
     reader.raise_errors()
-    return found
+    return settings
 
 
 def make_endpoint(
@@ -81,7 +84,7 @@
     stream: int = 0
     applied_seq: int = 0
     is_polling: bool = False
-    applied_count: int = 0  # messages applied
+    applied_count: int = 0  # number of messages applied
     resync_count: int = 0
     is_dead: bool = False
 
@@ -103,21 +106,21 @@
         self.endpoints = {f"w{n}": make_endpoint(n) for n in range(replica_count)}
         self.version = 0
         self.proxies = [SimulatedProxy(f"r{n}", "xy"[n % 2]) for n in range(proxy_count)]
-        for relay in self.proxies:
-            relay.state.install_default_tables({c: {"w0": 1.0, "w1": 1.0} for c in ("read", "write")})
-        self.withdrawn_since_us: dict[str, int] = {}  # since when a replica is told to be shut
+        for proxy in self.proxies:
+            proxy.state.install_default_tables({c: {"w0": 1.0, "w1": 1.0} for c in ("read", "write")})
+        self.unavailable_since_us: dict[str, int] = {}  # when the list first had the replica draining or gone
         self.scheduled: list[tuple[int, int, SimulatedProxy, feed.PollResponse | None]] = []
         self.scheduled_count = 0
         self.peak_lines = 0.0
         self.start_governor("one")
 
     def start_governor(self, epoch: str) -> None:
-        """A governor starts, as after a kill: nothing of an earlier one is known to it."""
+        """Starts a governor without any state of an earlier one, as after a kill."""
         self.core = GovernorCore(self.settings.fleet, self.settings.governors[0], epoch, self.now_us)
         self.policies = PolicyHost(self.core.policy_configs, self.now_us, bool(self.core.slot_us))
         self.scheduled = []
-        for relay in self.proxies:
-            relay.is_polling = False
+        for proxy in self.proxies:
+            proxy.is_polling = False
         self.update_endpoints(is_snapshot=True)
 
     def update_endpoints(self, *changed: feed.EndpointRecord, is_snapshot: bool = False) -> None:
@@ -125,89 +128,89 @@
         for e in changed:
             self.endpoints[e.replica] = e
             if e.phase == "ready":
-                self.withdrawn_since_us.pop(e.replica, None)
+                self.unavailable_since_us.pop(e.replica, None)
             else:
-                self.withdrawn_since_us.setdefault(e.replica, self.now_us)
-        entries = tuple(e for e in self.endpoints.values() if e.phase != "gone") if is_snapshot else changed
-        document = feed.EndpointListUpdate(
-            "life", self.version, entries, is_snapshot, 0 if is_snapshot else self.version - 1
+                self.unavailable_since_us.setdefault(e.replica, self.now_us)
+        records = tuple(e for e in self.endpoints.values() if e.phase != "gone") if is_snapshot else changed
+        update = feed.EndpointListUpdate(
+            "life", self.version, records, is_snapshot, 0 if is_snapshot else self.version - 1
         )
-        self.core.handle_endpoint_list(self.now_us, document)
+        self.core.handle_endpoint_list(self.now_us, update)
 
-    def connect(self, *relays: SimulatedProxy) -> None:
-        for relay in relays or self.proxies:
-            self._schedule(relay, None, 0)
+    def connect(self, *proxies: SimulatedProxy) -> None:
+        for proxy in proxies or self.proxies:
+            self._schedule(proxy, None, 0)
 
-    def _schedule(self, relay: SimulatedProxy, answer: feed.PollResponse | None, wait: int) -> None:
+    def _schedule(self, proxy: SimulatedProxy, answer: feed.PollResponse | None, delay_us: int) -> None:
         self.scheduled_count += 1
-        heapq.heappush(self.scheduled, (self.now_us + wait, self.scheduled_count, relay, answer))
+        heapq.heappush(self.scheduled, (self.now_us + delay_us, self.scheduled_count, proxy, answer))
 
-    def _ask(self, relay: SimulatedProxy) -> None:
+    def _poll(self, proxy: SimulatedProxy) -> None:
         try:
-            answer = self.core.handle_poll(self.now_us, relay.make_poll())
-        except RequestRejectedError as fault:
-            assert fault.status in (409, 503)
-            relay.epoch, relay.is_polling = "", False
+            answer = self.core.handle_poll(self.now_us, proxy.make_poll())
+        except RequestRejectedError as error:
+            assert error.status in (409, 503)
+            proxy.epoch, proxy.is_polling = "", False
             return
-        relay.is_polling = answer is None
+        proxy.is_polling = answer is None
         if answer is not None:
-            self._schedule(relay, answer, self.latency_us)
+            self._schedule(proxy, answer, self.latency_us)
 
-    def _take(self, relay: SimulatedProxy, answer: feed.PollResponse) -> None:
-        if (answer.epoch, answer.stream) != (relay.epoch, relay.stream):
-            relay.epoch, relay.stream, relay.applied_seq = answer.epoch, answer.stream, 0
-            relay.state.begin_stream()
+    def _apply_answer(self, proxy: SimulatedProxy, answer: feed.PollResponse) -> None:
+        if (answer.epoch, answer.stream) != (proxy.epoch, proxy.stream):
+            proxy.epoch, proxy.stream, proxy.applied_seq = answer.epoch, answer.stream, 0
+            proxy.state.begin_stream()
         for message in answer.messages:
-            if message.seq > relay.applied_seq:
-                relay.state.apply(message)
-                relay.applied_seq, relay.applied_count = message.seq, relay.applied_count + 1
-                relay.resync_count += message.is_snapshot
+            if message.seq > proxy.applied_seq:
+                proxy.state.apply(message)
+                proxy.applied_seq, proxy.applied_count = message.seq, proxy.applied_count + 1
+                proxy.resync_count += message.is_snapshot
 
     def run(self, seconds: float) -> None:
-        """Steps of 5 ms; the rules that a governor keeps are checked after each."""
+        """Runs in steps of 5 ms, and checks after each that the governor keeps its limits and the grace."""
         for _ in range(int(seconds * 200)):
             self.now_us += 5_000
             while self.scheduled and self.scheduled[0][0] <= self.now_us:
-                _, _, relay, answer = heapq.heappop(self.scheduled)
-                if relay.is_dead:
+                _, _, proxy, answer = heapq.heappop(self.scheduled)
+                if proxy.is_dead:
                     continue
                 if answer is not None:
-                    self._take(relay, answer)
-                self._ask(relay)
+                    self._apply_answer(proxy, answer)
+                self._poll(proxy)
             ready = self.core.advance(self.now_us)
-            for relay in self.proxies:
-                if relay.is_polling and self.core.identifiers.proxies.get(relay.name, -1) in ready:
-                    self._ask(relay)
-                elif relay.is_polling and (
-                    s := self.core.streams.get(self.core.identifiers.proxies[relay.name])
+            for proxy in self.proxies:
+                if proxy.is_polling and self.core.identifiers.proxies.get(proxy.name, -1) in ready:
+                    self._poll(proxy)
+                elif proxy.is_polling and (
+                    stream := self.core.streams.get(self.core.identifiers.proxies[proxy.name])
                 ):
-                    s.last_poll_us = self.now_us  # a held poll is renewed in time
-            slot = not self.core.slot_us or self.now_us % self.core.slot_us < 5_000
-            hurry, self.core.has_urgent_change = self.core.has_urgent_change and not slot, False
-            if slot or hurry:
-                batches = self.core.take_batches(hurry)
+                    stream.last_poll_us = self.now_us  # stands for the next poll, which would come in time
+            is_slot = not self.core.slot_us or self.now_us % self.core.slot_us < 5_000
+            is_urgent, self.core.has_urgent_change = self.core.has_urgent_change and not is_slot, False
+            if is_slot or is_urgent:
+                batches = self.core.take_batches(is_urgent)
                 if batches or self.core.slot_us:
                     self.core.apply_replies(
-                        self.now_us, self.policies.handle(self.now_us, batches, not hurry)
+                        self.now_us, self.policies.handle(self.now_us, batches, not is_urgent)
                     )
-                if self.core.slot_us and slot:
-                    more = self.core.publish_slot(self.now_us)
-                    while more:
-                        more = self.core.publish_slot(self.now_us, more)
-            self.check()
+                if self.core.slot_us and is_slot:
+                    must_continue = self.core.publish_slot(self.now_us)
+                    while must_continue:
+                        must_continue = self.core.publish_slot(self.now_us, must_continue)
+            self.check_invariants()
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         channel = self.core.publisher.channel
         self.peak_lines = max(self.peak_lines, channel.waiting_lines)
         assert channel.waiting_lines <= channel.queue_limit_lines
-        assert abs(channel.waiting_lines - sum(x.message.cost_lines for x in channel._queue)) < 1e-6
-        for name, since in self.withdrawn_since_us.items():
-            if self.now_us - since > self.settings.fleet.safety.drain_grace_us:
-                held = [
+        assert abs(channel.waiting_lines - sum(item.message.cost_lines for item in channel._queue)) < 1e-6
+        for name, since_us in self.unavailable_since_us.items():
+            if self.now_us - since_us > self.settings.fleet.safety.drain_grace_us:
+                senders = [
                     r.name
                     for r in self.proxies
                     if r.stream
                     and not r.is_dead
                     and any(name in r.state.weights_for(c) for c in r.state.table_by_class)
                 ]
-                assert not held, f"{name} still picked by {held}"
+                assert not senders, f"replica {name} is still used by {senders}"
