--- a/tests/support/governor_process.py
+++ b/tests/support/governor_process.py
@@ -1,4 +1,4 @@
-"""What the drills share: a governor as a process of its own, a roster and relays that do as they are told."""
+"""Test doubles around a real governor process: an endpoint list service and proxies that tests control."""
 
 from __future__ import annotations
 
@@ -25,11 +25,14 @@
 
 LOOPBACK = "127.0.0.1"
 REPOSITORY = Path(__file__).parent.parent.parent
-DRAIN_GRACE_S = 2.0  # as the settings of `TEXT` say
+DRAIN_GRACE_S = 2.0  # as in SETTINGS_TEMPLATE
 
 
 class FakeEndpointList:
-    """Answers with the whole list; holds a call that has it, unless it is to answer at once."""
+    """A test double of the endpoint list service, which always answers with a snapshot.
+
+    With `holds_requests` it holds a request for the current version until the list changes.
+    """
 
     def __init__(self, count: int = 4) -> None:
         (self.port,) = find_free_ports(1)
@@ -41,12 +44,12 @@
         self.server = HttpServer(self._handle)
         self.server.listen(self.port, LOOPBACK)
 
-    def put(self, e: feed.EndpointRecord, **other: Any) -> None:
-        self.records[e.replica] = msgspec.to_builtins(e) | other
+    def put(self, record: feed.EndpointRecord, **overrides: Any) -> None:
+        self.records[record.replica] = msgspec.to_builtins(record) | overrides
 
-    def publish(self, *changed: feed.EndpointRecord, **other: Any) -> None:
-        for e in changed:
-            self.put(e, **other)
+    def publish(self, *changed: feed.EndpointRecord, **overrides: Any) -> None:
+        for record in changed:
+            self.put(record, **overrides)
         self.version += 1
         self.answer_held_requests()
 
@@ -79,7 +82,10 @@
 
 
 class FakeProxy:
-    """Follows one governor and holds what it is told; a deaf one applies all and never says so."""
+    """A test double of a proxy, which follows one governor and applies its messages.
+
+    With `withholds_acknowledgements` it applies all messages and never acknowledges one.
+    """
 
     def __init__(
         self, port: int, name: str, withholds_acknowledgements: bool = False, zone: str = "x"
@@ -104,12 +110,12 @@
                 await asyncio.sleep(0.05)
 
     async def _poll(self, client: HttpClient) -> None:
-        after = 0 if self.withholds_acknowledgements else self.applied_seq
+        acknowledged_seq = 0 if self.withholds_acknowledgements else self.applied_seq
         response = await client.request(
             "GET",
             f"/v1/feed?relay={self.name}&zone={self.zone}&rate=1"
             f"&epoch={self.epoch}"
-            f"&stream={self.stream}&after={after}",
+            f"&stream={self.stream}&after={acknowledged_seq}",
         )
         if response.status != 200:
             self.is_joined, self.rejection = False, f"{response.status} {response.body.decode()}"
@@ -132,11 +138,11 @@
         return replica in self.state.weights_for(request_class)
 
 
-async def wait_until(what: Callable[[], Any], seconds: float) -> bool:
-    """Whether it came true within so long."""
-    end = asyncio.get_running_loop().time() + seconds
-    while not what():
-        if asyncio.get_running_loop().time() > end:
+async def wait_until(condition: Callable[[], Any], timeout_s: float) -> bool:
+    """Waits for the condition; returns False if it has not become true within the timeout."""
+    deadline = asyncio.get_running_loop().time() + timeout_s
+    while not condition():
+        if asyncio.get_running_loop().time() > deadline:
             return False
         await asyncio.sleep(0.02)
     return True
@@ -158,7 +164,7 @@
 
 
 class GovernorProcess:
-    """A process; its log goes to a file unless told otherwise."""
+    """A governor as a process of its own; its log goes to a file unless `stderr` is given."""
 
     def __init__(
         self,
@@ -169,11 +175,11 @@
         resource_limits: Iterable[tuple[int, int]] = (),
     ) -> None:
         self.port, self.log_path = port, path.parent / f"{name}.log"
-        some = tuple(resource_limits)
+        limits = tuple(resource_limits)
 
-        def limit() -> None:
-            for kind, most in some:
-                resource.setrlimit(kind, (most, most))
+        def set_limits() -> None:
+            for resource_kind, limit in limits:
+                resource.setrlimit(resource_kind, (limit, limit))
 
         with self.log_path.open("ab") as file:
             self.process = subprocess.Popen(
@@ -182,26 +188,26 @@
                 stderr=file if stderr is None else stderr,
                 stdin=subprocess.DEVNULL,
                 start_new_session=True,
-                preexec_fn=limit if some else None,
+                preexec_fn=set_limits if limits else None,
             )
         self.client = HttpClient(LOOPBACK, port)
 
     async def status(self) -> dict[str, Any]:
         response = await self.client.request("GET", "/v1/status", timeout_s=2.0)
-        found: dict[str, Any] = msgspec.json.decode(response.body, type=dict[str, Any])
-        return found
+        status: dict[str, Any] = msgspec.json.decode(response.body, type=dict[str, Any])
+        return status
 
     async def wait_until_serving(self) -> dict[str, Any]:
         for _ in range(400):
             assert self.process.poll() is None, self.log_path.read_text()
             with contextlib.suppress(ConnectError, ConnectionLostError, ResponseTimeoutError):
-                if not (found := await self.status())["roster_old"]:
-                    return found
+                if not (status := await self.status())["roster_old"]:
+                    return status
             await asyncio.sleep(0.05)
-        raise AssertionError("the governor did not come up")
+        raise AssertionError("the governor did not start serving")
 
-    async def wait_for_exit(self, seconds: float) -> int | None:
-        await wait_until(lambda: self.process.poll() is not None, seconds)
+    async def wait_for_exit(self, timeout_s: float) -> int | None:
+        await wait_until(lambda: self.process.poll() is not None, timeout_s)
         return self.process.poll()
 
     def kill(self) -> None:
@@ -216,26 +222,26 @@
 async def run_fleet(
     folder: Path, proxy_count: int = 1, replacements: Iterable[tuple[str, str]] = (), **governor_options: Any
 ) -> AsyncIterator[tuple[FakeEndpointList, GovernorProcess, list[FakeProxy]]]:
-    """A roster, one governor, and relays that it has bound."""
-    roster = FakeEndpointList()
+    """Starts an endpoint list, one governor, and proxies that it has bound."""
+    endpoint_list = FakeEndpointList()
     (port,) = find_free_ports(1)
     governor = GovernorProcess(
-        write_settings(folder, roster.port, port, replacements), port, **governor_options
+        write_settings(folder, endpoint_list.port, port, replacements), port, **governor_options
     )
-    some: list[FakeProxy] = []
+    proxies: list[FakeProxy] = []
     try:
         await governor.wait_until_serving()
-        some += [FakeProxy(port, f"r{n}") for n in range(proxy_count)]
+        proxies += [FakeProxy(port, f"r{n}") for n in range(proxy_count)]
         assert await wait_until(
-            lambda: all(r.state.is_bound for r in some), 10
+            lambda: all(proxy.state.is_bound for proxy in proxies), 10
         ), governor.log_path.read_text()
-        yield roster, governor, some
+        yield endpoint_list, governor, proxies
     finally:
-        for relay in some:
-            relay.task.cancel()
+        for proxy in proxies:
+            proxy.task.cancel()
         governor.kill()
-        roster.server.abort()
+        endpoint_list.server.abort()
 
 
-def run_async(work: Callable[[], Any]) -> None:
-    asyncio.run(asyncio.wait_for(work(), 60))
+def run_async(main: Callable[[], Any]) -> None:
+    asyncio.run(asyncio.wait_for(main(), 60))
