--- a/gradehoist/governor/zone_coordination.py
+++ b/gradehoist/governor/zone_coordination.py
@@ -235,7 +235,9 @@
         self._reported_us = now_us
         participant = self._membership.participant
         report = self._make_report(now_us)
-        change = participant.build_put(REPORTS_PREFIX + participant.identity.name, report, owned_by_session=True)
+        change = participant.build_put(
+            REPORTS_PREFIX + participant.identity.name, report, owned_by_session=True
+        )
         self._propose(_Write.REPORT, change)
 
     def _make_report(self, now_us: int) -> HealthReport:
