--- a/tests/test_known_limits.py
+++ b/tests/test_known_limits.py
@@ -1,4 +1,4 @@
-"""What the hardening review found and did not mend: strictly expected to fail, so that a mend shows."""
+"""Known faults from the hardening review, as strict expected failures: a fix makes its test fail."""
 
 from __future__ import annotations
 
@@ -30,42 +30,44 @@
 )
 
 
-@pytest.mark.xfail(strict=True, reason="F18: only the module orders withdrawals, and it is at work")
-def test_a_planner_that_works_for_longer_than_the_grace_holds_up_no_drain(
+@pytest.mark.xfail(strict=True, reason="F18: only the policy orders withdrawals, and it is busy")
+def test_a_policy_that_computes_for_longer_than_the_grace_period_delays_no_drain(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    usual, slow = PolicyProcess.handle, [False]
+    original_handle, is_slow = PolicyProcess.handle, [False]
 
-    async def handle(self: PolicyProcess, *given: Any) -> Any:
-        if slow.pop():
+    async def handle(self: PolicyProcess, *arguments: Any) -> Any:
+        if is_slow.pop():
             await asyncio.sleep(2 * DRAIN_GRACE_S)
-        slow.append(False)
-        return await usual(self, *given)
+        is_slow.append(False)
+        return await original_handle(self, *arguments)
 
     async def work() -> None:
         monkeypatch.setattr(PolicyProcess, "handle", handle)
-        roster, (port,) = FakeEndpointList(), find_free_ports(1)
-        found = read_settings(write_settings(tmp_path, roster.port, port))
-        service = GovernorService(found.fleet, found.governors[0])
+        endpoint_list, (port,) = FakeEndpointList(), find_free_ports(1)
+        settings = read_settings(write_settings(tmp_path, endpoint_list.port, port))
+        service = GovernorService(settings.fleet, settings.governors[0])
         running = asyncio.ensure_future(service.run())
-        relay = FakeProxy(port, "r0")
+        proxy = FakeProxy(port, "r0")
         try:
-            assert await wait_until(lambda: relay.state.is_bound, 10)
-            slow[:] = [True]
+            assert await wait_until(lambda: proxy.state.is_bound, 10)
+            is_slow[:] = [True]
             await asyncio.sleep(0.2)
-            roster.publish(make_endpoint(1, "draining"))
-            assert await wait_until(lambda: not relay.sends_to("w1"), DRAIN_GRACE_S)
+            endpoint_list.publish(make_endpoint(1, "draining"))
+            assert await wait_until(lambda: not proxy.sends_to("w1"), DRAIN_GRACE_S)
         finally:
-            relay.task.cancel()
+            proxy.task.cancel()
             service.stop()
             await running
-            roster.server.abort()
+            endpoint_list.server.abort()
 
     run_async(work)
 
 
-@pytest.mark.xfail(strict=True, reason="F21: keys have no age, and the protocol states none yet")
-def test_keys_of_done_writes_do_not_pile_up() -> None:
+@pytest.mark.xfail(
+    strict=True, reason="F21: idempotency keys have no age, and the protocol does not define one yet"
+)
+def test_idempotency_keys_of_completed_writes_do_not_accumulate() -> None:
     fence = ReplicaFence("w", "c", lease_until_us=1 << 60)
     for n in range(2_000):
         fence, _ = fence.check_write(n, "inn", "c", 1, f"k{n}")
@@ -73,42 +75,42 @@
     assert len(fence.completed["inn"]) < 2_000
 
 
-@pytest.mark.xfail(strict=True, reason="F24: an index never gives a name back")
-def test_names_of_replicas_long_gone_are_given_back() -> None:
-    world = GovernedFleet(proxy_count=1)
+@pytest.mark.xfail(strict=True, reason="F24: an index never releases a name")
+def test_the_names_of_replicas_gone_for_long_are_released() -> None:
+    fleet = GovernedFleet(proxy_count=1)
     for n in range(100, 400):
-        world.update_endpoints(make_endpoint(n))
-        world.update_endpoints(make_endpoint(n, "gone"))
-    world.now_us += 2 * 3_600_000_000
-    world.update_endpoints(is_snapshot=True)
-    assert len(world.core.identifiers.replicas) < 300
+        fleet.update_endpoints(make_endpoint(n))
+        fleet.update_endpoints(make_endpoint(n, "gone"))
+    fleet.now_us += 2 * 3_600_000_000
+    fleet.update_endpoints(is_snapshot=True)
+    assert len(fleet.core.identifiers.replicas) < 300
 
 
-@pytest.mark.xfail(strict=True, reason="F25: a day's processes do not watch the day")
-def test_a_day_that_is_killed_leaves_no_process(tmp_path: Path) -> None:
+@pytest.mark.xfail(strict=True, reason="F25: the processes of a scenario run do not monitor the run")
+def test_a_killed_scenario_run_leaves_no_process(tmp_path: Path) -> None:
     scene_path = str(REPOSITORY / "scenarios" / "short.kdl")
-    day = subprocess.Popen(
+    run = subprocess.Popen(
         [sys.executable, "-m", "gradehoist", "day", scene_path, "--quiet", "--out", str(tmp_path)],
         cwd=REPOSITORY,
         stdout=subprocess.DEVNULL,
     )
 
     def children() -> list[psutil.Process]:
-        """Those that have this run's folder among their words."""
-        found = [p for p in psutil.process_iter(["cmdline"]) if p.pid != day.pid]
-        return [p for p in found if any(str(tmp_path) in word for word in p.info["cmdline"] or ())]
+        """Returns the processes with the folder of this run in their command line."""
+        others = [p for p in psutil.process_iter(["cmdline"]) if p.pid != run.pid]
+        return [p for p in others if any(str(tmp_path) in argument for argument in p.info["cmdline"] or ())]
 
     try:
         for _ in range(200):
             time.sleep(0.05)
             if len(children()) >= 4:
                 break
-        day.send_signal(signal.SIGKILL)
-        day.wait()
-        mine = children()
-        assert len(mine) >= 4
-        _, left = psutil.wait_procs(mine, 2.0)
-        assert not left
+        run.send_signal(signal.SIGKILL)
+        run.wait()
+        run_processes = children()
+        assert len(run_processes) >= 4
+        _, remaining = psutil.wait_procs(run_processes, 2.0)
+        assert not remaining
     finally:
         for process in children():
             process.kill()
