--- a/gradehoist/cells/migration.py
+++ b/gradehoist/cells/migration.py
@@ -50,8 +50,8 @@
         target: The cell that it goes to.
         generation: The tenant's generation that this migration creates.
         step: The current step.
-        must_close_source: Whether the source may be open to the tenant. It is not in an undo of a migration
-            that never opened its target.
+        must_close_source: Whether the source may be open to the tenant and has to be closed first. It can't
+            be open in an undo of a migration that never opened its target.
         confirmed_governors: Governors that confirmed the current step.
         confirmed_replicas: Replicas that confirmed the current step without writes in flight.
         completed_keys: Keys of writes that source replicas completed.
@@ -68,8 +68,8 @@
     generation: int = msgspec.field(name="gen")
     step: MigrationStep = MigrationStep.CLOSE
     must_close_source: bool = msgspec.field(default=True, name="fenced")
-    confirmed_governors: WriteKeys = msgspec.field(default=NO_WRITE_KEYS, name="known")
-    confirmed_replicas: WriteKeys = msgspec.field(default=NO_WRITE_KEYS, name="shut")
+    confirmed_governors: frozenset[str] = msgspec.field(default=frozenset(), name="known")
+    confirmed_replicas: frozenset[str] = msgspec.field(default=frozenset(), name="shut")
     completed_keys: WriteKeys = msgspec.field(default=NO_WRITE_KEYS, name="keys")
     governors_confirmed_us: int = msgspec.field(default=-1, name="since")
     is_undo: bool = msgspec.field(default=False, name="undone")
@@ -148,8 +148,8 @@
             return msgspec.structs.replace(
                 self,
                 step=MigrationStep.OPEN,
-                confirmed_governors=NO_WRITE_KEYS,
-                confirmed_replicas=NO_WRITE_KEYS,
+                confirmed_governors=frozenset(),
+                confirmed_replicas=frozenset(),
                 governors_confirmed_us=-1,
             )
         if has_all_governors and self.governors_confirmed_us < 0:
@@ -167,7 +167,7 @@
         if self.step is MigrationStep.DONE:
             raise MigrationStateError(f"move {self.id} is done; order a move back to {self.source}")
         if self.is_undo:
-            raise MigrationStateError(f"move {self.id} is being undone already")
+            raise MigrationStateError(f"move {self.id} is an undo and cannot be undone")
         return Migration(
             id=self.id + UNDO_SUFFIX,
             tenant=self.tenant,
--- a/gradehoist/cells/placement_planner.py
+++ b/gradehoist/cells/placement_planner.py
@@ -28,7 +28,7 @@
     """Returns a placement that changes `before` as little as possible.
 
     Raises:
-        PlacementError: There are fewer replicas than cells, or a name occurs twice.
+        PlacementError: No cell is required, there are fewer replicas than cells, or a name occurs twice.
     """
     by_demand = sorted(tenants, key=_tenant_order)
     by_zone = sorted(replicas, key=_replica_order)
@@ -94,10 +94,11 @@
 
 
 def _neediest_cell(cells: list[Cell], replica: Replica, requirements: PlacementRequirements) -> Cell:
-    """Returns an undersized cell if there is one, else the cell with the fewest replicas in the zone.
+    """Returns the cell that needs a replica most.
 
-    Ties go to the cell with the least capacity. The zone's replicas are counted, not summed by capacity:
-    compared by capacity, the odd replica of every zone went to the same cell, which became twice as large.
+    Undersized cells come first, then those with the fewest replicas in the replica's zone, then those with
+    the least capacity. The zone's replicas are counted and their capacity is not summed: compared by
+    capacity, the odd replica of every zone went to the same cell, which became twice as large.
     """
 
     def rank(cell: Cell) -> tuple[bool, int, float, int]:
@@ -116,15 +117,15 @@
     unmet = []
     for cell in cells:
         while cell.is_undersized(requirements):
-            found = _find_donor(cells, cell, requirements)
-            if found is None:
+            donation = _find_donor(cells, cell, requirements)
+            if donation is None:
                 unmet.append(
                     f"cell {cell.number} has {len(cell.replicas)} workers in "
                     f"{len(cell.capacity_by_zone)} zones but needs {requirements.min_replicas} in "
                     f"{requirements.min_zones}; no other cell can spare one"
                 )
                 break
-            donor, replica = found
+            donor, replica = donation
             donor.remove_replica(replica)
             cell.add_replica(replica)
     return unmet
--- a/gradehoist/cells/rate_limits.py
+++ b/gradehoist/cells/rate_limits.py
@@ -74,7 +74,7 @@
 
     # The share of a cell's burst that is not lent. Half of it leaves enough both for a burst of the tenants
     # within their rates and for a borrower.
-    OWNER_RESERVE_SHARE = 0.5
+    RESERVE_SHARE = 0.5
     # The number of tenants with a bucket, far more than a proxy sees within the time of a burst.
     MAX_TENANTS = 10_000
     # The tenants examined to evict one. Examining all of them for each new tenant took milliseconds.
@@ -140,7 +140,7 @@
             return Rejection("over the cell's rate", cell_bucket.wait_us(1.0))
         # The tenant exceeds its own rate and has to borrow a token, which the cell lends only above its
         # reserve.
-        required = 1 + self.OWNER_RESERVE_SHARE * cell_bucket.burst
+        required = 1 + self.RESERVE_SHARE * cell_bucket.burst
         if cell_bucket.tokens >= required:
             return None
         wait_us = min(tenant_bucket.wait_us(1.0), cell_bucket.wait_us(required))
--- a/gradehoist/migration/rollout.py
+++ b/gradehoist/migration/rollout.py
@@ -107,7 +107,7 @@
                 rollout.with_batch_updated(batch), f"{rollout.cell}: {', '.join(batch)} updated"
             )
         try:
-            await self._watch(rollout, self._soak_s)
+            await self._observe(rollout, self._soak_s)
             await self._await_stability(rollout)
         except RolloutHaltError as halt:
             return self._halt(rollout, halt)
@@ -123,15 +123,15 @@
         await self._await_return(rollout, batch, incarnations)
         # Load reports arrive late: without this pause after each batch, a whole cell was updated before a
         # regression was visible.
-        await self._watch(rollout, self._soak_s / 2)
+        await self._observe(rollout, self._soak_s / 2)
 
     async def _await_stability(self, rollout: Rollout) -> None:
         """Waits until every governor answers and the other cells fail no more than before."""
-        while reason := self._hold_reason(rollout):
+        while reason := self._reason_to_wait(rollout):
             self._on_change(rollout, f"{reason}: waits")
-            await self._watch(rollout, self._soak_s)
+            await self._observe(rollout, self._soak_s)
 
-    def _hold_reason(self, rollout: Rollout) -> str:
+    def _reason_to_wait(self, rollout: Rollout) -> str:
         """Returns why the next stage may not begin yet, although this one shows no regression, or ""."""
         if self._monitor.last_complete_s < time.monotonic() - self._soak_s:
             return "a governor does not answer, so its requests are not counted"
@@ -145,7 +145,7 @@
             await self._monitor.refresh()
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _watch(self, rollout: Rollout, seconds: float) -> None:
+    async def _observe(self, rollout: Rollout, seconds: float) -> None:
         """Observes the cell for a time. Raises RolloutHaltError as soon as there is a regression."""
         end_s = time.monotonic() + seconds
         while time.monotonic() < end_s:
@@ -166,7 +166,7 @@
         """Waits until the endpoint list shows each replica as ready in a new incarnation."""
         end_s = time.monotonic() + self._return_timeout_s
         while True:
-            await self._watch(rollout, POLL_INTERVAL_S)
+            await self._observe(rollout, POLL_INTERVAL_S)
             current = await self._ready_incarnations() or {}
             missing = [name for name in batch if current.get(name) in (None, incarnations.get(name))]
             if not missing:
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -112,5 +112,5 @@
 
 
 def test_an_undo_cannot_be_undone() -> None:
-    with pytest.raises(ValueError, match="already"):
+    with pytest.raises(ValueError, match="is an undo and cannot be undone"):
         first_migration().undo().undo()
