--- a/tests/test_migration_runner.py
+++ b/tests/test_migration_runner.py
@@ -25,11 +25,11 @@
 
 @pytest.fixture
 def killed_after_each_record(monkeypatch: pytest.MonkeyPatch) -> None:
-    def save_and_die(folder: Path, migration: Migration) -> None:
+    def save_and_raise(folder: Path, migration: Migration) -> None:
         save_migration(folder, migration)
         raise KilledError
 
-    monkeypatch.setattr(runner, "save_migration", save_and_die)
+    monkeypatch.setattr(runner, "save_migration", save_and_raise)
 
 
 def check_fences(site: MigrationSite, migration: Migration, unresponsive: str) -> None:
@@ -60,7 +60,7 @@
                 return run
         return 20
 
-    async def work() -> None:
+    async def check() -> None:
         site = MigrationSite(tmp_path, unresponsive)
         try:
             site.create_migration(folder)
@@ -75,13 +75,13 @@
         finally:
             site.close()
 
-    asyncio.run(work())
+    asyncio.run(check())
 
 
 def test_a_waiting_migration_describes_its_wait_and_is_replaced_by_its_undo(tmp_path: Path) -> None:
     folder = tmp_path / "s"
 
-    async def work() -> None:
+    async def check() -> None:
         site = MigrationSite(tmp_path, unresponsive="g")
         waits = list[str]()
         # This write stays in flight, so that a2 does not confirm.
@@ -100,8 +100,8 @@
             assert ended.step is MigrationStep.CLOSE
             assert waits[-1] == "shut: undone"
             site.unresponsive = ""
-            last = (await site.run_pending_migrations(folder, waits))[-1]
-            assert last.step is MigrationStep.DONE or undo.step is MigrationStep.CLOSE
+            step_by_id = {ended.id: ended.step for ended in await site.run_pending_migrations(folder, waits)}
+            assert step_by_id == {migration.id: MigrationStep.CLOSE, undo.id: MigrationStep.DONE}
         finally:
             site.close()
         assert site.directory.route(TENANT, "A") == ("A", 3)
@@ -109,7 +109,7 @@
         assert not site.accepts_write("b1", 2)
         assert not site.accepts_write("a1", 1)
 
-    asyncio.run(work())
+    asyncio.run(check())
 
 
 def test_an_unknown_migration_cannot_be_undone(tmp_path: Path) -> None:
@@ -118,7 +118,7 @@
 
 
 def test_a_migration_stops_if_another_one_has_the_same_generation(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def check() -> None:
         site = MigrationSite(tmp_path)
         try:
             another = TenantAssignment(TENANT, 2, "another")
@@ -131,7 +131,7 @@
         finally:
             site.close()
 
-    asyncio.run(work())
+    asyncio.run(check())
 
 
 def test_a_record_store_has_one_writer_at_a_time(tmp_path: Path) -> None:
@@ -165,7 +165,7 @@
 def test_a_replica_is_notified_at_its_current_address(tmp_path: Path, first: str) -> None:
     """With clients kept by name, a replica that returned elsewhere was notified at its old address."""
 
-    async def work() -> None:
+    async def check() -> None:
         site = MigrationSite(tmp_path)
         site.use_settle_time_of_a_minute()
         site.listed_addresses["a2"] = first
@@ -179,11 +179,11 @@
         assert not site.accepts_write("a2", 1)
         site.close()
 
-    asyncio.run(asyncio.wait_for(work(), 30))
+    asyncio.run(asyncio.wait_for(check(), 30))
 
 
 def test_notifications_of_an_unresponsive_replica_back_off(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def check() -> None:
         site = MigrationSite(tmp_path, unresponsive="a2")
         site.use_settle_time_of_a_minute()
         site.create_migration(tmp_path / "moves")
@@ -195,4 +195,4 @@
         assert 3 <= site.request_counts["a2"] <= 5, site.request_counts
         site.close()
 
-    asyncio.run(asyncio.wait_for(work(), 30))
+    asyncio.run(asyncio.wait_for(check(), 30))
