--- a/tests/test_boundary_values.py
+++ b/tests/test_boundary_values.py
@@ -1,8 +1,7 @@
-"""Arithmetic at the edges: nothing, one, zero, vast and late figures, in the module and round it."""
+"""Boundary values: empty fleets, zero, very large and very late values, in the policy and the governor."""
 
 from __future__ import annotations
 
-import itertools
 import math
 from dataclasses import replace
 
@@ -207,12 +206,13 @@
     assert 0 not in fleet.withdrawn
 
 
-def test_intake_with_vast_late_and_empty_sums() -> None:
-    names = Identifiers(["x"], ["k"], ["c"])
-    names.replicas.intern("w"), names.proxies.intern("r")
-    late = 2**53 + 12_345
-    intake = LoadReportQueue(names, 1.0, SECOND, 0)
-    most = feed.ProxyLoadReport(
+def test_a_load_report_queue_accepts_huge_and_empty_counts_at_late_times() -> None:
+    identifiers = Identifiers(["x"], ["k"], ["c"])
+    identifiers.replicas.intern("w")
+    identifiers.proxies.intern("r")
+    late_us = 2**53 + 12_345
+    queue = LoadReportQueue(identifiers, 1.0, SECOND, 0)
+    report = feed.ProxyLoadReport(
         "r",
         "e",
         0,
@@ -220,19 +220,17 @@
         (feed.ClassRequests("c", VAST, VAST),),
     )
     for _ in range(50):
-        intake.add(0, 0, most)
-    heard = [e for at in (SECOND, 30 * 24 * HOUR, late, late + SECOND) for e in intake.take_due(at)]
-    assert {type(e) for e in heard} == {AttemptsReported, RequestsOffered}
-    assert [(e.attempts, e.failures) for e in heard if isinstance(e, AttemptsReported)] == [
-        (50 * VAST, 50 * VAST)
-    ]
-    assert intake.next_due_us() > late
-
-
-def test_channel_door_budget_and_figures_at_the_edges() -> None:
-    channel = Channel(
-        queue_limit_lines=100.0, lines_per_s=1e-3 * 1e6, messages_per_window=1, window_us=SECOND
-    )
+        queue.add(0, 0, report)
+    times_us = (SECOND, 30 * 24 * HOUR, late_us, late_us + SECOND)
+    events = [event for time_us in times_us for event in queue.take_due(time_us)]
+    assert {type(event) for event in events} == {AttemptsReported, RequestsOffered}
+    attempts = [event for event in events if isinstance(event, AttemptsReported)]
+    assert [(event.attempts, event.failures) for event in attempts] == [(50 * VAST, 50 * VAST)]
+    assert queue.next_due_us() > late_us
+
+
+def test_a_channel_releases_messages_at_a_late_time() -> None:
+    channel = Channel(queue_limit_lines=100.0, lines_per_s=1_000.0, messages_per_window=1, window_us=SECOND)
     channel.add_proxy(0)
     message = feed.Message(1, 1, 0, 0.0, ())
     assert not channel.put(2**53, 0, 1, message)
@@ -241,10 +239,16 @@
     assert channel.waiting_lines == 0
     assert channel.next_release_us() is None
     assert channel.put(0, 7, 1, message) == "the proxy has left"
-    door = RateLimiter(RateLimits(0.001, 0.001, 0.1))
-    assert door.admit(0, "", "") is None
-    assert door.admit(-HOUR, "", "")
-    assert door.admit(2**60, "", "") is None
+
+
+def test_a_rate_limiter_accepts_tiny_rates_and_a_clock_that_goes_backwards() -> None:
+    limiter = RateLimiter(RateLimits(0.001, 0.001, 0.1))
+    assert limiter.admit(0, "", "") is None
+    assert limiter.admit(-HOUR, "", "")
+    assert limiter.admit(2**60, "", "") is None
+
+
+def test_channel_shares_accept_no_proxies_and_a_full_queue() -> None:
     channel_limits = ChannelLimits(
         queue_limit_lines=1.0,
         lines_per_s=1.0,
@@ -252,19 +256,31 @@
         messages_per_window=0,
         message_window_us=SECOND,
     )
-    budget = ChannelShares(1, channel_limits, 1)
-    assert budget.available_lines(0, 0.0) >= 0
-    assert budget.available_lines(10**6, 1e9) == 0
-    assert budget.allows_message(10**9)
-    tally = CellStats(("a", "b"), {"w": "a"})
-    assert tally.status({})["b"]["load"] == 0.0
-    none, all_bad = (
-        {"a": TrafficCounts(), "b": TrafficCounts()},
-        {"a": TrafficCounts(40, 40), "b": TrafficCounts(40, 40)},
-    )
-    for before, now in itertools.product((none, all_bad), repeat=2):
-        assert isinstance(describe_regression("a", before, now), str)
-        assert isinstance(are_other_cells_stable("a", before, now), bool)
-    for figure in ("nan", "inf", "-1", "1e10", "-nan", "", "1e400"):
-        with pytest.raises(ValueError, match="cpu_utilization|to float"):
-            orca.parse_report(f"TEXT cpu_utilization={figure}")
+    shares = ChannelShares(1, channel_limits, 1)
+    assert shares.available_lines(0, 0.0) >= 0
+    assert shares.available_lines(10**6, 1e9) == 0
+    assert shares.allows_message(10**9)
+
+
+def test_a_cell_without_replicas_has_no_load() -> None:
+    stats = CellStats(("a", "b"), {"w": "a"})
+    assert stats.status({})["b"]["load"] == 0.0
+
+
+NO_TRAFFIC = {"a": TrafficCounts(), "b": TrafficCounts()}
+ALL_INCOMPLETE = {"a": TrafficCounts(40, 40), "b": TrafficCounts(40, 40)}
+
+
+@pytest.mark.parametrize("before", [NO_TRAFFIC, ALL_INCOMPLETE], ids=["no traffic", "all incomplete"])
+@pytest.mark.parametrize("now", [NO_TRAFFIC, ALL_INCOMPLETE], ids=["no traffic", "all incomplete"])
+def test_rates_of_cells_without_traffic_or_successes_can_be_compared(
+    before: dict[str, TrafficCounts], now: dict[str, TrafficCounts]
+) -> None:
+    assert isinstance(describe_regression("a", before, now), str)
+    assert isinstance(are_other_cells_stable("a", before, now), bool)
+
+
+@pytest.mark.parametrize("utilization", ["nan", "inf", "-1", "1e10", "-nan", "", "1e400"])
+def test_a_load_report_with_an_invalid_utilization_is_rejected(utilization: str) -> None:
+    with pytest.raises(ValueError, match="cpu_utilization|to float"):
+        orca.parse_report(f"TEXT cpu_utilization={utilization}")
