--- a/tests/test_boundary_values.py
+++ b/tests/test_boundary_values.py
@@ -44,19 +44,29 @@
 )
 
 HOUR = 3600 * SECOND
-GONE = Phase.GONE
-VAST = 10**9
+HUGE = 10**9
+TYPICAL_LOAD = LoadReport(0.5, 2.0)
+TYPICAL_REPORT = (6, 0, TYPICAL_LOAD)  # attempts, failures and load
 
 
-def sound(fleet: SimulatedFleet) -> None:
-    """Every weight that stands is a finite number over zero, and every table that is used has some."""
-    for table, lines in fleet.tables.items():
-        assert all(math.isfinite(w) and 0 < w < 1e6 for w in lines.values()), (table, lines)
+def check_finite(fleet: SimulatedFleet) -> None:
+    """Checks that all weights are finite and positive, and that all admitted shares are finite."""
+    for table, weights in fleet.tables.items():
+        assert all(math.isfinite(weight) and 0 < weight < 1e6 for weight in weights.values()), (
+            table,
+            weights,
+        )
     assert all(
-        math.isfinite(s) for o in fleet.orders if isinstance(o, SetAdmission) for s in [o.admitted_share]
+        math.isfinite(order.admitted_share) for order in fleet.orders if isinstance(order, SetAdmission)
     )
 
 
+def skip_hour(fleet: SimulatedFleet) -> None:
+    """Moves the clock an hour ahead; the policy's timer fires once, at the end of the hour."""
+    fleet.now_us += HOUR
+    fleet.timers = [fleet.now_us]
+
+
 LOADS = [
     LoadReport(0.0, 0.0),
     LoadReport(1e9, 1e9),
@@ -68,24 +78,32 @@
 
 
 @pytest.mark.parametrize("load", LOADS, ids=str)
-@pytest.mark.parametrize("met", [(0, 0), (VAST, VAST), (VAST, 0), (1, 1)], ids=str)
+@pytest.mark.parametrize("attempts_and_failures", [(0, 0), (HUGE, HUGE), (HUGE, 0), (1, 1)], ids=str)
 @pytest.mark.parametrize("count", [0, 1, 2, 9])
 def test_any_load_report_leaves_weights_finite_and_positive(
-    count: int, met: tuple[int, int], load: LoadReport | None
+    count: int, attempts_and_failures: tuple[int, int], load: LoadReport | None
 ) -> None:
     fleet = running_fleet(count)
-    fleet.run(4, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(count)})
-    for window, elapsed in ((0, 0), (1, 10**12), (SECOND, 0), (40 * 365 * 24 * HOUR, 10**12)):
+    fleet.run(4, dict.fromkeys(range(count), TYPICAL_REPORT))
+    for window_us, latency_us in ((0, 0), (1, 10**12), (SECOND, 0), (40 * 365 * 24 * HOUR, 10**12)):
         fleet.step(
-            *(AttemptsReported(z, n, *met, elapsed, window, load) for z in range(3) for n in range(count)),
-            *(RequestsOffered(p, k, VAST, VAST, window) for p in fleet.proxies for k in range(3)),
+            *(
+                AttemptsReported(zone, replica, *attempts_and_failures, latency_us, window_us, load)
+                for zone in range(3)
+                for replica in range(count)
+            ),
+            *(
+                RequestsOffered(proxy, request_class, HUGE, HUGE, window_us)
+                for proxy in fleet.proxies
+                for request_class in range(3)
+            ),
         )
-        fleet.run(2, {0: (*met, load)})
-    sound(fleet)
+        fleet.run(2, {0: (*attempts_and_failures, load)})
+    check_finite(fleet)
 
 
 @pytest.mark.parametrize("size", [0.0, 1e-9, 1e9])
-def test_sizes_at_the_edges(size: float) -> None:
+def test_replicas_of_extreme_sizes_get_finite_weights(size: float) -> None:
     fleet = SimulatedFleet()
     fleet.step(
         EndpointsListed(
@@ -93,115 +111,120 @@
             tuple(replace(endpoint(n), size=size if n % 2 else 1.0) for n in range(6)),
         )
     )
-    fleet.step(*(ProxyJoined(p, p % 3, 0.0 if p else 1e9) for p in range(3)))
-    fleet.run(8, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(6)})
-    sound(fleet)
+    fleet.step(*(ProxyJoined(proxy, proxy % 3, 0.0 if proxy else 1e9) for proxy in range(3)))
+    fleet.run(8, dict.fromkeys(range(6), TYPICAL_REPORT))
+    check_finite(fleet)
     assert all(fleet.bound.values())
-    assert all(fleet.open_lines(t) for b in fleet.bound.values() for t in b.values())
+    assert all(fleet.open_lines(table) for by_class in fleet.bound.values() for table in by_class.values())
 
 
-def test_a_pool_that_empties_fills_again_and_a_zone_without_replicas_is_served() -> None:
+def test_an_emptied_pool_serves_all_zones_again_with_its_first_replica() -> None:
     fleet = running_fleet(3)
     fleet.step(EndpointsListed(EndpointListKind.SNAPSHOT, ()))
     fleet.run(3)
     fleet.step(EndpointsListed(EndpointListKind.SNAPSHOT, (endpoint(0, started_us=fleet.now_us),)))
-    fleet.run(30, {0: (6, 0, LoadReport(0.5, 2.0))})
-    sound(fleet)
-    open_to_all = [fleet.open_lines(b[0]) for b in fleet.bound.values()]
-    assert all(set(lines) == {0} for lines in open_to_all)
+    fleet.run(30, {0: TYPICAL_REPORT})
+    check_finite(fleet)
+    assert all(set(fleet.open_lines(by_class[0])) == {0} for by_class in fleet.bound.values())
 
 
-def test_no_proxies_then_one_and_classes_of_one_replica() -> None:
-    alone = replace(UNRESTRICTED, allowed_zones=(2,))
-    fleet = SimulatedFleet(policy_config((UNRESTRICTED, alone, ZONE_LOCAL)))
+def test_a_proxy_that_joins_a_fleet_without_proxies_can_use_a_class_with_one_replica() -> None:
+    one_replica = replace(UNRESTRICTED, allowed_zones=(2,))
+    fleet = SimulatedFleet(policy_config((UNRESTRICTED, one_replica, ZONE_LOCAL)))
     fleet.step(EndpointsListed(EndpointListKind.SNAPSHOT, tuple(endpoint(n) for n in range(3))))
-    fleet.run(5, {n: (VAST, VAST, None) for n in range(3)})
+    fleet.run(5, dict.fromkeys(range(3), (HUGE, HUGE, None)))
     fleet.step(ProxyJoined(0, 0, 0.0))
-    fleet.run(5, {n: (9, 9, None) for n in range(3)})
-    sound(fleet)
-    assert set(fleet.open_lines(fleet.bound[0][1])) == {2}  # all its tries fail, and it is the only one
+    fleet.run(5, dict.fromkeys(range(3), (9, 9, None)))
+    check_finite(fleet)
+    # All its attempts fail, but it is the only replica of the class.
+    assert set(fleet.open_lines(fleet.bound[0][1])) == {2}
+
 
+def test_an_hour_s_pause_of_the_governor_does_not_stop_the_adjustment_of_weights() -> None:
+    """A load report that waited through the pause has a window of an hour.
 
-def test_an_hour_s_pause_of_the_governor_does_not_freeze_the_loop() -> None:
-    """The one report that waited through it has a window of an hour: a third of that became the period."""
+    A third of that window became the period of the adjustments, so that weights no longer changed.
+    """
     fleet = running_fleet(2)
-    fleet.run(5, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(2)})
-    fleet.now_us, fleet.timers = fleet.now_us + HOUR, [fleet.now_us + HOUR]
-    fleet.step(*(AttemptsReported(n % 3, n, 6, 0, 200_000, HOUR, LoadReport(0.5, 2.0)) for n in range(2)))
+    fleet.run(5, dict.fromkeys(range(2), TYPICAL_REPORT))
+    skip_hour(fleet)
+    fleet.step(*(AttemptsReported(n % 3, n, 6, 0, 200_000, HOUR, TYPICAL_LOAD) for n in range(2)))
     before = fleet.traffic_share(0, 0, 0)
     fleet.run(60, {0: (6, 0, LoadReport(1.0, 12.0)), 1: (6, 0, LoadReport(0.3, 1.0))})
     assert fleet.traffic_share(0, 0, 0) < 0.8 * before
 
 
-def test_on_a_machine_just_booted_a_replica_that_runs_for_long_is_warm() -> None:
-    """Its clock is younger than the cold time; long past is told as 0, and nobody was ever ejected."""
+def test_a_replica_started_before_the_governor_s_machine_booted_is_warm() -> None:
+    """The machine's clock shows less than the warm-up time, and an earlier start is reported as 0.
+
+    Such replicas were regarded as warming up, and no failing replica was ejected.
+    """
     fleet = SimulatedFleet(now_us=2 * SECOND)
     fleet.step(EndpointsListed(EndpointListKind.SNAPSHOT, tuple(endpoint(n) for n in range(9))))
-    fleet.step(*(ProxyJoined(p, p % 3, 5.0) for p in range(3)))
-    fleet.run(3, {n: (6, 6 * (n == 0), LoadReport(0.5, 2.0)) for n in range(9)})
+    fleet.step(*(ProxyJoined(proxy, proxy % 3, 5.0) for proxy in range(3)))
+    fleet.run(3, {n: (6, 6 * (n == 0), TYPICAL_LOAD) for n in range(9)})
     assert 0 in fleet.withdrawn
 
 
-def test_a_replica_gone_for_an_hour_is_forgotten_and_one_of_that_name_is_taken_back() -> None:
-    """3,000 replaced servers made each step 27 times as long."""
+def test_a_replica_gone_for_an_hour_is_forgotten_and_can_return() -> None:
+    """Without that, 3,000 replaced replicas made each step of the policy take 27 times as long."""
     fleet = running_fleet(9)
-    fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, GONE), endpoint(4, GONE))))
-    fleet.run(3, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(9)})
+    fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, Phase.GONE), endpoint(4, Phase.GONE))))
+    fleet.run(3, dict.fromkeys(range(9), TYPICAL_REPORT))
     assert fleet.withdrawn == {0, 4}
-    fleet.now_us, fleet.timers = fleet.now_us + HOUR, [fleet.now_us + HOUR]
-    fleet.run(5, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(1, 9) if n != 4})
-    module = fleet.policy
+    skip_hour(fleet)
+    fleet.run(5, {n: TYPICAL_REPORT for n in range(1, 9) if n != 4})
     assert not fleet.withdrawn
-    assert 0 not in module.fleet.replicas.actors
-    assert not any(0 in lines for lines in fleet.tables.values())
+    assert 0 not in fleet.policy.fleet.replicas.actors
+    assert not any(0 in weights for weights in fleet.tables.values())
+    # Reports of a forgotten replica, which arrive late, are ignored.
     fleet.step(
         AttemptsReported(0, 0, 9, 9, 0, SECOND, None),
         HealthChecked(0, HealthCheckOutcome.HEALTHY, 1, None),
-    )  # a late word
+    )
     fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, started_us=fleet.now_us),)))
-    fleet.run(20, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(9) if n != 4})
+    fleet.run(20, {n: TYPICAL_REPORT for n in range(9) if n != 4})
     assert fleet.traffic_share(0, 0, 0) > 0
     assert 0 not in fleet.withdrawn
-    sound(fleet)
+    check_finite(fleet)
 
 
 def test_the_withdrawal_of_a_forgotten_replica_is_explained_as_it_is_lifted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The explanation looked up a replica that the policy had just forgotten: its process failed."""
+    """The explanation looked up a replica that the policy had just forgotten, and the process failed."""
     fleet = running_fleet(9)
     handle, reasons = fleet.policy.handle, dict[Order, str]()
 
-    def explained_handle(now_us: int, events: list[Event]) -> list[Order]:
+    def handle_and_explain(now_us: int, events: list[Event]) -> list[Order]:
         orders = handle(now_us, events)
         reasons.update({orders[n]: reason for n, reason in explain_orders(fleet.policy, orders).items()})
         return orders
 
-    monkeypatch.setattr(fleet.policy, "handle", explained_handle)
-    fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, GONE),)))
+    monkeypatch.setattr(fleet.policy, "handle", handle_and_explain)
+    fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, Phase.GONE),)))
     fleet.run(3)
-    fleet.now_us, fleet.timers = fleet.now_us + HOUR, [fleet.now_us + HOUR]
+    skip_hour(fleet)
     fleet.run(5)
     assert reasons[WithdrawReplica(0, True)] == "listed as gone"
     assert reasons[WithdrawReplica(0, False)] == "forgotten: gone for long"
 
 
-@pytest.mark.parametrize("again", [True, False])
-def test_one_that_comes_back_as_it_is_forgotten_is_not_lost(again: bool) -> None:
+@pytest.mark.parametrize("leaves_again", [True, False])
+def test_a_replica_that_returns_when_it_is_due_to_be_forgotten_is_used_again(leaves_again: bool) -> None:
     fleet = running_fleet(9)
-    fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, GONE),)))
-    fleet.run(3, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(9)})
-    fleet.now_us, fleet.timers = fleet.now_us + HOUR, [fleet.now_us + HOUR]
-    back = endpoint(0, started_us=fleet.now_us)
-    fleet.step(
-        *fleet.acknowledge(), EndpointsListed(EndpointListKind.DELTA, (back,)), TimerFired(0)
-    )  # due in the same batch
-    if again:
-        fleet.step(EndpointsListed(EndpointListKind.DELTA, (replace(back, phase=GONE),)))
-        fleet.run(2, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(1, 9)})
+    fleet.step(EndpointsListed(EndpointListKind.DELTA, (endpoint(0, Phase.GONE),)))
+    fleet.run(3, dict.fromkeys(range(9), TYPICAL_REPORT))
+    skip_hour(fleet)
+    returned = endpoint(0, started_us=fleet.now_us)
+    # The list and the timer that would forget the replica are in the same batch of events.
+    fleet.step(*fleet.acknowledge(), EndpointsListed(EndpointListKind.DELTA, (returned,)), TimerFired(0))
+    if leaves_again:
+        fleet.step(EndpointsListed(EndpointListKind.DELTA, (replace(returned, phase=Phase.GONE),)))
+        fleet.run(2, dict.fromkeys(range(1, 9), TYPICAL_REPORT))
         assert 0 in fleet.withdrawn
-        fleet.step(EndpointsListed(EndpointListKind.DELTA, (back,)))
-    fleet.run(20, {n: (6, 0, LoadReport(0.5, 2.0)) for n in range(9)})
+        fleet.step(EndpointsListed(EndpointListKind.DELTA, (returned,)))
+    fleet.run(20, dict.fromkeys(range(9), TYPICAL_REPORT))
     assert fleet.traffic_share(0, 0, 0) > 0
     assert 0 not in fleet.withdrawn
 
@@ -216,8 +239,8 @@
         "r",
         "e",
         0,
-        (feed.ReplicaAttempts("w", VAST, VAST, 10**12), feed.ReplicaAttempts("w", 0, 0, 0)),
-        (feed.ClassRequests("c", VAST, VAST),),
+        (feed.ReplicaAttempts("w", HUGE, HUGE, 10**12), feed.ReplicaAttempts("w", 0, 0, 0)),
+        (feed.ClassRequests("c", HUGE, HUGE),),
     )
     for _ in range(50):
         queue.add(0, 0, report)
@@ -225,7 +248,7 @@
     events = [event for time_us in times_us for event in queue.take_due(time_us)]
     assert {type(event) for event in events} == {AttemptsReported, RequestsOffered}
     attempts = [event for event in events if isinstance(event, AttemptsReported)]
-    assert [(event.attempts, event.failures) for event in attempts] == [(50 * VAST, 50 * VAST)]
+    assert [(event.attempts, event.failures) for event in attempts] == [(50 * HUGE, 50 * HUGE)]
     assert queue.next_due_us() > late_us
 
 
