--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -839,29 +839,29 @@
     assert find_duplicate_effects(entries) == []
 
 
-def test_a_history_out_of_order_shows_the_same_breaches() -> None:
-    lines = records.load_history(history("broken"))
-    (stale,) = linearizability.find_linearizability_violations(lines)
-    assert str(stale) == (
+def test_an_incorrect_history_has_the_same_violations_as_before() -> None:
+    entries = records.load_history(history("broken"))
+    (stale_read,) = linearizability.find_linearizability_violations(entries)
+    assert str(stale_read) == (
         "k: no linearizable order of these operations exists:\n"
         "  0.000003 to 0.000004 s a: commit a:2 version 2 -> (3, 'a:2')\n"
         "  0.000005 to 0.000006 s b: read saw (2, 'a:1')"
     )
-    (older,) = find_fencing_violations(lines)
-    assert str(older) == (
+    (older_generation,) = find_fencing_violations(entries)
+    assert str(older_generation) == (
         "job: generation 1 took effect after 2\n"
         "  0.000007 s ledger: job generation 2 of b: x\n"
         "  0.000008 s ledger: job generation 1 of a: y"
     )
-    (twice,) = find_duplicate_effects(lines)
-    assert str(twice) == (
+    (duplicate,) = find_duplicate_effects(entries)
+    assert str(duplicate) == (
         "x took effect twice\n"
         "  0.000007 s ledger: job generation 2 of b: x\n"
         "  0.000009 s ledger: job generation 2 of b: x"
     )
 
 
-def test_a_history_cut_by_its_bound_gives_no_verdict() -> None:
+def test_a_truncated_history_is_rejected() -> None:
     with pytest.raises(
         records.IncompleteHistoryError, match="history truncated at its maximum number of entries"
     ):
