--- a/gradehoist/cells/assignment.py
+++ b/gradehoist/cells/assignment.py
@@ -22,8 +22,8 @@
 
 from gradehoist.coordination.fencing import FencingToken, TokenOrder, compare_tokens
 
-WriteKeys = frozenset[str]
-NO_WRITE_KEYS: WriteKeys = frozenset()
+StringSet = frozenset[str]
+EMPTY_STRING_SET: StringSet = frozenset()
 
 FIRST_GENERATION = 1  # the generation of a tenant that has never migrated
 
@@ -59,7 +59,7 @@
     generation: int
     migration_id: str
     cell: str = ""
-    completed_keys: WriteKeys = NO_WRITE_KEYS
+    completed_keys: StringSet = EMPTY_STRING_SET
 
     @property
     def token(self) -> FencingToken:
@@ -95,7 +95,7 @@
     sender: str
     assignment: TenantAssignment
     has_writes_in_flight: bool = False
-    completed_keys: WriteKeys = NO_WRITE_KEYS
+    completed_keys: StringSet = EMPTY_STRING_SET
 
 
 Assignments = Mapping[str, TenantAssignment]
@@ -117,9 +117,9 @@
     name: str
     cell: str
     assignments: Assignments = field(default_factory=dict)
-    completed: Mapping[str, WriteKeys] = field(default_factory=dict)
+    completed: Mapping[str, StringSet] = field(default_factory=dict)
     lease_until_us: int = -1
-    in_flight: Mapping[str, WriteKeys] = field(default_factory=dict)
+    in_flight: Mapping[str, StringSet] = field(default_factory=dict)
 
     def restarted(self) -> ReplicaFence:
         """Returns the fence as it is after a crash of the replica: without a lease or running writes."""
@@ -134,11 +134,11 @@
             return self, WriteDecision.WRONG_CELL
         if now_us >= self.lease_until_us:
             return self, WriteDecision.NO_LEASE
-        if key in self.completed.get(tenant, NO_WRITE_KEYS):
+        if key in self.completed.get(tenant, EMPTY_STRING_SET):
             return self, WriteDecision.DUPLICATE
         if assignment is not None and key in assignment.completed_keys:
             return self, WriteDecision.DUPLICATE
-        running = self.in_flight.get(tenant, NO_WRITE_KEYS)
+        running = self.in_flight.get(tenant, EMPTY_STRING_SET)
         if key in running:
             return self, WriteDecision.IN_FLIGHT
         accepted = replace(self, in_flight={**self.in_flight, tenant: running | {key}})
@@ -146,12 +146,12 @@
 
     def complete_write(self, tenant: str, key: str) -> ReplicaFence:
         """Returns the fence after an accepted write took effect, to be persisted together with the effect."""
-        completed = self.completed.get(tenant, NO_WRITE_KEYS) | {key}
+        completed = self.completed.get(tenant, EMPTY_STRING_SET) | {key}
         return replace(self.abandon_write(tenant, key), completed={**self.completed, tenant: completed})
 
     def abandon_write(self, tenant: str, key: str) -> ReplicaFence:
         """Returns the fence without an accepted write that will not run, because its client has given up."""
-        remaining = self.in_flight.get(tenant, NO_WRITE_KEYS) - {key}
+        remaining = self.in_flight.get(tenant, EMPTY_STRING_SET) - {key}
         return replace(self, in_flight={**self.in_flight, tenant: remaining})
 
     def apply_assignment(self, assignment: TenantAssignment) -> tuple[ReplicaFence, AssignmentAck]:
@@ -163,7 +163,7 @@
         if assignment.supersedes(self.assignments.get(assignment.tenant)):
             after = replace(self, assignments={**self.assignments, assignment.tenant: assignment})
         current = after.assignments[assignment.tenant]
-        completed = after.completed.get(assignment.tenant, NO_WRITE_KEYS)
+        completed = after.completed.get(assignment.tenant, EMPTY_STRING_SET)
         return after, AssignmentAck(
             sender=self.name,
             assignment=current,
--- a/gradehoist/cells/migration.py
+++ b/gradehoist/cells/migration.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-from gradehoist.cells.assignment import NO_WRITE_KEYS, AssignmentAck, TenantAssignment, WriteKeys
+from gradehoist.cells.assignment import EMPTY_STRING_SET, AssignmentAck, StringSet, TenantAssignment
 from gradehoist.cells.errors import MigrationStateError
 from gradehoist.coordination.fencing import FencingToken, TokenOrder, compare_tokens
 
@@ -70,7 +70,7 @@
     must_close_source: bool = msgspec.field(default=True, name="fenced")
     confirmed_governors: frozenset[str] = msgspec.field(default=frozenset(), name="known")
     confirmed_replicas: frozenset[str] = msgspec.field(default=frozenset(), name="shut")
-    completed_keys: WriteKeys = msgspec.field(default=NO_WRITE_KEYS, name="keys")
+    completed_keys: StringSet = msgspec.field(default=EMPTY_STRING_SET, name="keys")
     governors_confirmed_us: int = msgspec.field(default=-1, name="since")
     is_undo: bool = msgspec.field(default=False, name="undone")
     conflict: str = ""
--- a/tests/support/migration_model.py
+++ b/tests/support/migration_model.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from gradehoist.cells.assignment import (
-    NO_WRITE_KEYS,
+    EMPTY_STRING_SET,
     AssignmentAck,
     ReplicaFence,
     TenantAssignment,
@@ -312,7 +312,7 @@
 
     def _replica_transitions(self, state: ModelState) -> Iterator[Transition]:
         for name, fence in state.fences.items():
-            for key in sorted(fence.in_flight.get(TENANT, NO_WRITE_KEYS)):
+            for key in sorted(fence.in_flight.get(TENANT, EMPTY_STRING_SET)):
                 yield Transition(
                     f"{name} completes", f"{name} completes {key}", self._complete(state, name, key)
                 )
@@ -331,7 +331,7 @@
             network=tuple(message for message in state.network if not isinstance(message, Write)),
         )
         for name, fence in state.fences.items():
-            for key in sorted(fence.in_flight.get(TENANT, NO_WRITE_KEYS)):
+            for key in sorted(fence.in_flight.get(TENANT, EMPTY_STRING_SET)):
                 later = self._complete(later, name, key)
         yield Transition("time passes", "time passes", later)
 
@@ -343,7 +343,7 @@
         """
         after = with_fence(state, state.fences[name].complete_write(TENANT, key))
         cell = self.replicas_by_cell[state.fences[name].cell]
-        if any(key in state.fences[other].completed.get(TENANT, NO_WRITE_KEYS) for other in cell):
+        if any(key in state.fences[other].completed.get(TENANT, EMPTY_STRING_SET) for other in cell):
             return after
         return replace(after, effects=tuple(sorted((*state.effects, key))))
 
@@ -405,7 +405,7 @@
         if self.mutation is Mutation.BUSY_REPLICAS_CONFIRM:
             return ack._replace(has_writes_in_flight=False)
         if self.mutation is Mutation.COMPLETED_KEYS_LOST:
-            return ack._replace(completed_keys=NO_WRITE_KEYS)
+            return ack._replace(completed_keys=EMPTY_STRING_SET)
         return ack
 
 
