--- a/gradehoist/cells/migration.py
+++ b/gradehoist/cells/migration.py
@@ -68,8 +68,8 @@
     generation: int = msgspec.field(name="gen")
     step: MigrationStep = MigrationStep.CLOSE
     must_close_source: bool = msgspec.field(default=True, name="fenced")
-    confirmed_governors: frozenset[str] = msgspec.field(default=frozenset(), name="known")
-    confirmed_replicas: frozenset[str] = msgspec.field(default=frozenset(), name="shut")
+    confirmed_governors: StringSet = msgspec.field(default=EMPTY_STRING_SET, name="known")
+    confirmed_replicas: StringSet = msgspec.field(default=EMPTY_STRING_SET, name="shut")
     completed_keys: StringSet = msgspec.field(default=EMPTY_STRING_SET, name="keys")
     governors_confirmed_us: int = msgspec.field(default=-1, name="since")
     is_undo: bool = msgspec.field(default=False, name="undone")
@@ -148,8 +148,8 @@
             return msgspec.structs.replace(
                 self,
                 step=MigrationStep.OPEN,
-                confirmed_governors=frozenset(),
-                confirmed_replicas=frozenset(),
+                confirmed_governors=EMPTY_STRING_SET,
+                confirmed_replicas=EMPTY_STRING_SET,
                 governors_confirmed_us=-1,
             )
         if has_all_governors and self.governors_confirmed_us < 0:
