--- a/gradehoist/policy/locality.py
+++ b/gradehoist/policy/locality.py
@@ -4,12 +4,26 @@
 from gradehoist.messages import Tables, Weights
 from gradehoist.policy.replica import DEAD_BAND
 
-MAX_SLACK = 0.3  # How far the utilization of an idle zone may be from the average without moving traffic.
-NO_SLACK_SATURATION = 0.8  # A zone's slack shrinks as its saturation rises, and is 0 from this value on.
-EXPLORATION_SHARE = 0.01  # Of a zone's traffic, for each other zone, so that its load reports keep coming.
-FULL_ZONE_DIVISOR = 50  # Divides the weight of a zone without free capacity when traffic is spread.
-SHORTAGE_RATIO = 2  # With more demand per weight, the first replica to return would get all of a class.
-MIN_LINE_WEIGHT = 1e-4  # A weight of 0 would remove the line.
+# The utilization of an idle zone may differ from the average by this share of the average before traffic is
+# moved to other zones.
+MAX_SLACK = 0.3
+
+# The slack of a zone shrinks as its saturation rises, and is 0 from this saturation on.
+NO_SLACK_SATURATION = 0.8
+
+# Each other zone gets at least this share of a zone's traffic, so that load reports from there keep coming.
+EXPLORATION_SHARE = 0.01
+
+# When traffic that leaves a zone is divided among the other zones, a zone without free capacity counts with
+# its weight divided by this.
+FULL_ZONE_DIVISOR = 50
+
+# A zone has a capacity shortage for a class set if demand exceeds this multiple of the usable ready weight.
+# The first replica to be readmitted would then get all requests of the class set.
+SHORTAGE_RATIO = 2
+
+# The lowest weight of a line, as a weight of 0 would remove it.
+MIN_LINE_WEIGHT = 1e-4
 
 
 class LocalityBalancer:
@@ -18,9 +32,11 @@
     def __init__(self, replicas: ReplicaTable) -> None:
         """Create a balancer without observations."""
         self.replicas = replicas
-        self.relative_utilization = dict[int, float]()  # by zone, as a multiple of the average
+        # Mean utilization of each zone's replicas, as a multiple of the average.
+        self.relative_utilization = dict[int, float]()
         self.slack = dict[int, float]()  # by zone
-        self.quotas = dict[int, float]()  # by zone, as the governors have agreed
+        # Share of the traffic for each zone that may still go there, as the governors have agreed.
+        self.quotas = dict[int, float]()
 
     def set_saturation(self, zone: int, saturation: float) -> None:
         """Set the saturation of a zone, which limits its slack."""
@@ -35,48 +51,56 @@
     def plan(self, ready: Candidates, live: Candidates, demand: list[list[float]]) -> list[Tables]:
         """Return the tables for the proxies of each zone; `demand` has shares by zone and class set."""
         zones = range(self.replicas.zone_count)
-        self.total = total_weight(live.values()) or 1.0
-        self.free = [self._capacity(zone, weight) for zone, weight in enumerate(weight_by_zone(live, zones))]
+        self.total_weight = total_weight(live.values()) or 1.0
+        self.free_capacity = [
+            self._zone_capacity(zone, weight) for zone, weight in enumerate(weight_by_zone(live, zones))
+        ]
         self.replicas.capacity_shortages = []
         tables: list[Tables] = [{} for _ in zones]
-        for k in range(len(self.replicas.class_sets)):
-            allowed = [self.replicas.allowed(k, zone, live) for zone in zones]
+        for class_set in range(len(self.replicas.class_sets)):
+            allowed = [self.replicas.allowed(class_set, zone, live) for zone in zones]
             weights = [weight_by_zone(candidates, zones) for candidates in allowed]
-            local = [self._take_local_share(zone, demand[zone][k], weights[zone][zone]) for zone in zones]
+            local = [
+                self._take_local_share(zone, demand[zone][class_set], weights[zone][zone]) for zone in zones
+            ]
             for zone in zones:
-                usable = total_weight(self.replicas.allowed(k, zone, ready).values())
-                if demand[zone][k] * self.total > SHORTAGE_RATIO * usable:
-                    self.replicas.capacity_shortages.append((zone, k))
+                usable = total_weight(self.replicas.allowed(class_set, zone, ready).values())
+                if demand[zone][class_set] * self.total_weight > SHORTAGE_RATIO * usable:
+                    self.replicas.capacity_shortages.append((zone, class_set))
                 table: Weights = {}
                 split = self._zone_shares(zone, local[zone], weights[zone])
-                for n, c in allowed[zone].items():
-                    weight = len(live) * split.get(c.endpoint.zone, 0.0) * c.weight
-                    table[n] = max(MIN_LINE_WEIGHT, weight / weights[zone][c.endpoint.zone])
-                tables[zone][k] = table
+                for replica, candidate in allowed[zone].items():
+                    weight = len(live) * split.get(candidate.endpoint.zone, 0.0) * candidate.weight
+                    table[replica] = max(MIN_LINE_WEIGHT, weight / weights[zone][candidate.endpoint.zone])
+                tables[zone][class_set] = table
         return tables
 
-    def _capacity(self, zone: int, weight: float) -> float:
-        # A hot zone spills over before its weights fall, as more clients may gather there than are known.
+    def _zone_capacity(self, zone: int, weight: float) -> float:
+        """Return the share of all demand that the replicas of a zone can take."""
+        # A hot zone spills over at once, before its weights have fallen: more clients may have gathered there
+        # than this governor knew of.
         load = self.relative_utilization.get(zone) or 1.0
-        return min(1.0, (1 + DEAD_BAND + self.slack.get(zone, 0.0)) / load) / self.total * weight
+        return min(1.0, (1 + DEAD_BAND + self.slack.get(zone, 0.0)) / load) / self.total_weight * weight
 
     def _take_local_share(self, zone: int, demand: float, own_weight: float) -> float:
         """Return the part of a zone's demand that stays in the zone, and take up capacity for it."""
         if own_weight <= 0:
             return 0.0
         quota = self.quotas.get(zone, 1.0)
-        capacity = self.free[zone] + self.slack.get(zone, 0.0) * own_weight / self.total
+        capacity = self.free_capacity[zone] + self.slack.get(zone, 0.0) * own_weight / self.total_weight
         kept = min(demand * quota, max(0.0, capacity))
-        self.free[zone] -= kept
+        self.free_capacity[zone] -= kept
         return kept / demand if demand > 0 else quota
 
     def _zone_shares(self, zone: int, local: float, weights: list[float]) -> dict[int, float]:
         """Return the share of a zone's traffic that goes to each zone."""
         capacity = {
-            other: max(self.free[other], weight / self.total / FULL_ZONE_DIVISOR) * quota
+            other: max(self.free_capacity[other], weight / self.total_weight / FULL_ZONE_DIVISOR) * quota
             for other, weight in enumerate(weights)
             if weight and other != zone and (quota := self.quotas.get(other, 1.0))
         }
         total = sum(capacity.values())
-        shares = {other: max(EXPLORATION_SHARE, (1 - local) * c / total) for other, c in capacity.items()}
+        shares = {
+            other: max(EXPLORATION_SHARE, (1 - local) * free / total) for other, free in capacity.items()
+        }
         return shares | {zone: local if capacity else 1.0}
