--- a/gradehoist/policy/pool.py
+++ b/gradehoist/policy/pool.py
@@ -11,14 +11,29 @@
 from gradehoist.policy.replica import MAX_WEIGHT, MIN_WEIGHT, ReplicaController, relative_utilization
 from gradehoist.policy.subsetting import Subsetting
 
-MAX_STALE_SHARE = 0.15  # The design's limit: with more reports missing, the weight update is skipped.
-STALE_PERIODS = 3  # Report periods without a load report after which it counts as missing.
-OVERLOAD_SATURATION = 1.2  # Above it cold replicas are held back: a fifth more load than warm ones can take.
-READMISSION_DELAY_US = 3 * SECOND  # Without overload, before a cold replica that is held back is readmitted.
-REQUEST_DECAY = 0.9  # Per period: sums over some ten seconds show the mix of classes from few requests.
-# Far longer than an endpoint list flaps. With 3,000 replaced replicas kept, a step took 27 times as long.
+# The design's limit: if more than this share of the load reports is missing, the weight update is skipped.
+MAX_STALE_SHARE = 0.15
+
+# A replica's load report counts as missing after this many report periods without one.
+STALE_PERIODS = 3
+
+# Above this saturation, the pool is overloaded, and cold replicas are held back. The load is then a fifth
+# more than warm replicas can take.
+OVERLOAD_SATURATION = 1.2
+
+# A cold replica that is held back is readmitted after this time without an overload.
+READMISSION_DELAY_US = 3 * SECOND
+
+# Share of the recent requests that is kept each period. The sums thus cover some ten seconds, which shows the
+# mix of request classes even if there are few requests.
+REQUEST_DECAY = 0.9
+
+# A replica that has been gone for this long is removed. No endpoint list flaps for so long. With 3,000
+# replaced replicas kept, a step took 27 times as long.
 RETENTION_US = 3600 * SECOND
-MIN_WARMUP_QUOTA = 1e-3  # Of a cold replica's weight: shares of a total weight of 0 are undefined.
+
+# The lowest quota of a cold replica's weight, as shares of a total weight of 0 are undefined.
+MIN_WARMUP_QUOTA = 1e-3
 
 
 class Pool(Actor):
@@ -34,10 +49,12 @@
         self.retention = ReplicaRetention(fleet.loop, fleet.replicas, RETENTION_US, self._replan)
         self.period_us = fleet.config.load_reporting.period_us
         self.calm_us = 0  # time since the last overload
-        self.warmup_quotas = dict[int, float]()  # by cold replica, as the governors have agreed
+        # Share of its weight that each cold replica gets, as the governors have agreed.
+        self.warmup_quotas = dict[int, float]()
 
     def _replan(self) -> None:
-        self.defer_once(messages.PlanDue())  # All changes of a batch are planned for at once.
+        # All changes of a batch result in one plan.
+        self.defer_once(messages.PlanDue())
 
     def _on_endpoints_listed(self, listed: EndpointsListed) -> None:
         changed = self.replicas.update_endpoints(listed)
@@ -56,30 +73,38 @@
             self._readmit_last_peers(state)
             self._replan()
             self.retention.track(state)
-            # Restarted replicas are withdrawn first: the low weights of many would take too long to write.
+            # A restarted replica is withdrawn first: if many restart at once, it would take too long to write
+            # their low weights alone.
             is_held_back = self._update_held_back(state, is_restart=state.is_restart_of(old))
             availability = messages.Availability.DRAINING if is_held_back else state.availability
+            # A new replica that is available needs no order, as its first line comes with the tables.
             if old is not None or availability is not messages.Availability.AVAILABLE:
-                self._set_availability(state.endpoint.replica, availability)  # New ones come with the tables.
+                self._set_availability(state.endpoint.replica, availability)
 
     def _readmit_last_peers(self, state: messages.ReplicaState) -> None:
-        # If the endpoint list removes a class's last open replicas, ejected ones must serve it.
+        # If the endpoint list takes the last open replicas of a class, ejected ones must serve it.
         for peers in [] if state.is_open else self.replicas.peers(state.endpoint):
-            for n in [] if any(peers.values()) else peers:
-                self.replicas.send(n, messages.Readmit())
+            for replica in [] if any(peers.values()) else peers:
+                self.replicas.send(replica, messages.Readmit())
 
-    def _set_availability(self, n: int, availability: messages.Availability) -> None:
+    def _set_availability(self, replica: int, availability: messages.Availability) -> None:
         if availability is messages.Availability.AVAILABLE:
-            self.replicas.readmission_pending.add(n)
-        self.loop.publish(messages.SetAvailability(n, availability))
+            self.replicas.readmission_pending.add(replica)
+        self.loop.publish(messages.SetAvailability(replica, availability))
 
     def _update_held_back(self, state: messages.ReplicaState, is_restart: bool = False) -> bool:
-        # In an overload a cold replica gets more than its weight; the first one of a class gets all requests.
-        n = state.endpoint.replica
-        is_held_back = state.is_open and self.replicas.is_cold(n) and self.replicas.has_warm_open()
+        """Decide whether a cold replica is held back, and record and return the decision.
+
+        While any warm replica is open, a cold one is held back when it has just restarted, when a class set
+        that may use it has too little capacity, and during an overload; in the last case until the overload
+        has been over for `READMISSION_DELAY_US`. In an overload, a cold replica gets far more requests than
+        its weight stands for, and the first one of a class with few replicas gets all requests of the class.
+        """
+        replica = state.endpoint.replica
+        is_held_back = state.is_open and self.replicas.is_cold(replica) and self.replicas.has_warm_open()
         if is_held_back and not is_restart and not self.replicas.has_capacity_shortage(state.endpoint):
-            is_held_back = self.calm_us < (READMISSION_DELAY_US if n in self.replicas.held_back else 1)
-        self.replicas.set_held_back(n, is_held_back)
+            is_held_back = self.calm_us < (READMISSION_DELAY_US if replica in self.replicas.held_back else 1)
+        self.replicas.set_held_back(replica, is_held_back)
         return is_held_back
 
     def _on_replica_failing(self, failing: messages.ReplicaFailing) -> None:
@@ -91,8 +116,11 @@
 
     def _on_replicas_readmitted(self, readmitted: messages.ReplicasReadmitted) -> None:
         self.replicas.readmission_pending.difference_update(readmitted.replicas)
-        self._on_plan_due(messages.PlanDue())  # Once for all: a hundred plans made a step take 1.3 s.
-        self.fleet.write_replicas(readmitted.replicas)  # The low weight goes with the readmission.
+        # One plan is made for all of them: a plan for each of a hundred replicas made a step take 1.3 s.
+        self._on_plan_due(messages.PlanDue())
+        # A readmitted replica's low weight is written together with the readmission, or it would get requests
+        # by its full weight.
+        self.fleet.write_replicas(readmitted.replicas)
 
     def _on_quotas_agreed(self, quotas: QuotasAgreed) -> None:
         self.locality.quotas = dict(quotas.zone_quotas)
@@ -101,7 +129,8 @@
 
     def _on_period_elapsed(self, period: messages.PeriodElapsed) -> None:
         self.replicas.send_all(period)
-        self.defer_once(messages.PoolAssessmentDue())  # It follows the states that the replicas send now.
+        # The assessment is deferred so that it follows the states that the replicas send now.
+        self.defer_once(messages.PoolAssessmentDue())
 
     def _on_pool_assessment_due(self, _: messages.PoolAssessmentDue) -> None:
         self.period_us = self.replicas.median_period_us(self.fleet.config.load_reporting.period_us)
@@ -124,19 +153,20 @@
         self._replan()
 
     def _review_held_back(self) -> None:
-        for n, state in self.replicas.open().items():
-            was_held_back = n in self.replicas.held_back
+        for replica, state in self.replicas.open().items():
+            was_held_back = replica in self.replicas.held_back
             is_held_back = self._update_held_back(state)
             if was_held_back != is_held_back:
                 self._set_availability(
-                    n, messages.Availability.DRAINING if is_held_back else messages.Availability.AVAILABLE
+                    replica,
+                    messages.Availability.DRAINING if is_held_back else messages.Availability.AVAILABLE,
                 )
 
     def _on_weight_step_due(self, _: messages.WeightStepDue) -> None:
         live = self.replicas.open()
-        reported = {n: state for n, state in live.items() if state.reported_us}
+        reported = {replica: state for replica, state in live.items() if state.reported_us}
         oldest_us = self.loop.now_us - STALE_PERIODS * self.period_us
-        stale = {n for n, state in reported.items() if state.reported_us < oldest_us}
+        stale = {replica for replica, state in reported.items() if state.reported_us < oldest_us}
         if not reported or len(stale) > MAX_STALE_SHARE * len(reported):
             return
         utilization = relative_utilization(reported)
@@ -144,21 +174,24 @@
         scale = 1 / (self.replicas.mean_weight() or 1.0)
         for zone in range(self.replicas.zone_count):
             members = self.replicas.open_by_zone(zone)
-            mean = mean_or_zero([utilization[n] for n in members if n in utilization])
+            mean = mean_or_zero([utilization[replica] for replica in members if replica in utilization])
             target = self.locality.target_utilization(zone, mean, average)
-            for n in members:
-                error = target - utilization.get(n, target)
-                self.replicas.send(n, messages.AdjustWeight(error, n in stale, scale))
+            for replica in members:
+                error = target - utilization.get(replica, target)
+                self.replicas.send(replica, messages.AdjustWeight(error, replica in stale, scale))
         self._replan()
 
     def _on_plan_due(self, _: messages.PlanDue) -> None:
         ready = self.replicas.candidates(self.warmup_quotas, MIN_WARMUP_QUOTA)
-        # Replicas held back are no capacity yet, or the first ones readmitted would get the load of all.
+        # Replicas that are held back or still to be readmitted do not count as capacity. Otherwise, a zone
+        # would keep traffic for all of its replicas, and the first ones readmitted would get all of it.
         live = self.replicas.live(ready)
         demand = self.fleet.rates.demand(self.replicas.zone_count)
         tables = self.locality.plan(ready, live, demand.shares)
         self.subsetting.set_widths(demand.group_loads)
         planned = list[messages.Tables]()
         for group, zone in enumerate(self.fleet.proxies.zones):
-            planned.append({k: self.subsetting.subset(t, group) for k, t in tables[zone].items()})
+            planned.append(
+                {class_set: self.subsetting.subset(table, group) for class_set, table in tables[zone].items()}
+            )
         self.fleet.send_tables(planned, live, demand.proxy_zones)
