--- a/gradehoist/capacity_planning/additions.py
+++ b/gradehoist/capacity_planning/additions.py
@@ -1,4 +1,4 @@
-"""The fewest replicas that have to be added so that a slot's demand is met: an integer program over HiGHS."""
+"""Finds the fewest replicas to add so that a slot's demand is met, as an integer program solved by HiGHS."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from gradehoist.capacity_planning.problem import CapacityProblem, Flow, ReplicaGroup
 from gradehoist.capacity_planning.solver import INFINITY, TIME_LIMIT_S, add_row, create_solver
 
-# Added to the cost of one replica for each place in the order of names: of equal numbers the first wins.
+# Added to the cost of a replica for each position in the sorted list of groups. Of several additions with the
+# same number of replicas, the solver then always takes the one whose groups come first.
 TIE_BREAK_COST = 1e-6
 
 
 def find_replicas_to_add(
     problem: CapacityProblem, slot: int, lost_zones: frozenset[str] = frozenset()
 ) -> dict[ReplicaGroup, int] | None:
-    """Finds the fewest replicas, of kinds and zones that exist, with which all demand of a slot is met.
+    """Finds the fewest additional replicas, of existing kinds and zones, that let a slot's demand be met.
 
     Returns:
-        The number to add to each group; None where no number would do, as for a class whose only zones are
-        lost.
+        The number to add to each group. None if no number of replicas is enough, for example for a class
+        whose allowed zones are all lost.
 
     Raises:
         SolverError: The solver found no minimum within its time limit.
@@ -40,7 +41,7 @@
     highs.run()
     status = highs.getModelStatus()
     if status == highspy.HighsModelStatus.kTimeLimit:
-        raise SolverError(slot, f"no fewest addition within {TIME_LIMIT_S:g} s")
+        raise SolverError(slot, f"the solver found no minimal addition of replicas within {TIME_LIMIT_S:g} s")
     if status != highspy.HighsModelStatus.kOptimal:
         return None
     values = highs.getSolution().col_value
@@ -53,7 +54,7 @@
 
 
 def _extend_fleet(problem: CapacityProblem, extensible: list[tuple[str, str]]) -> CapacityProblem:
-    """The problem with a replica at least in each group without a cell, so that flows to it are allowed."""
+    """Returns the problem with at least one replica in each group without a cell, so that it allows flows."""
     counts = dict(problem.replica_counts)
     for zone, kind in extensible:
         group = ReplicaGroup(zone, kind)
@@ -62,15 +63,15 @@
 
 
 def _add_replica_columns(highs: Any, first_column: int, count: int) -> None:
-    """Adds a whole number of new replicas for each zone and kind."""
-    for place in range(count):
+    """Adds an integer variable for each zone and kind: the number of new replicas."""
+    for position in range(count):
         highs.addVar(0.0, INFINITY)
-        highs.changeColCost(first_column + place, 1.0 + TIE_BREAK_COST * place)
-        highs.changeColIntegrality(first_column + place, highspy.HighsVarType.kInteger)
+        highs.changeColCost(first_column + position, 1.0 + TIE_BREAK_COST * position)
+        highs.changeColIntegrality(first_column + position, highspy.HighsVarType.kInteger)
 
 
 def _add_demand_rows(highs: Any, problem: CapacityProblem, slot: int, flows: list[Flow]) -> bool:
-    """Requires that all demand is met; False where no flow could serve some of it."""
+    """Requires that all demand is met; returns False if no flow can serve some of it."""
     for key in sorted(problem.demand):
         columns = [n for n, flow in enumerate(flows) if (flow.request_class, flow.origin) == key]
         demand = float(problem.demand[key][slot])
@@ -87,7 +88,7 @@
     flows: list[Flow],
     extensible: list[tuple[str, str]],
 ) -> None:
-    """Limits the load of each group to its capacity now and that of the replicas added to it."""
+    """Limits the load of each group to its present capacity plus that of the replicas added to it."""
     for group in sorted(extended.replica_counts):
         columns = [n for n, flow in enumerate(flows) if flow.group == group]
         values = [float(extended.load_per_request(flows[n])) for n in columns]
--- a/gradehoist/capacity_planning/errors.py
+++ b/gradehoist/capacity_planning/errors.py
@@ -8,15 +8,15 @@
 
 
 class SolverError(CapacityPlanningError):
-    """The solver gave no solution to a program that has one.
+    """The solver returned no usable solution to a program that has one.
 
     Attributes:
-        slot: The time slot whose program was solved.
-        reason: What the solver reported.
+        slot: The time slot that was solved.
+        reason: The status that the solver reported, or the bound that its solution violates.
     """
 
     def __init__(self, slot: int, reason: str) -> None:
-        """Describes a failure in one slot."""
+        """Creates the error for one slot."""
         super().__init__(f"slot {slot}: {reason}")
         self.slot = slot
         self.reason = reason
--- a/gradehoist/capacity_planning/event_file.py
+++ b/gradehoist/capacity_planning/event_file.py
@@ -1,6 +1,6 @@
-"""Reading of event files in KDL: the fleet, and the demand of each event by slot.
+"""Reads event files in KDL, which describe the fleet and the demand of each event by slot.
 
-A file is read completely and all its errors are reported together.
+A file is parsed completely, and all its errors are reported together.
 """
 
 from __future__ import annotations
@@ -29,13 +29,16 @@
 )
 
 US_PER_S = 1_000_000
-MAX_FIGURE = 1e9  # of rates, weights and costs: far over any fleet's, and cheap to compute with exactly
-MIN_RATE = 1e-6  # requests per second of a replica that serves a class at all
+# The largest rate, weight or cost: far above that of any fleet, yet cheap in exact arithmetic.
+MAX_FIGURE = 1e9
+# The least rate, in requests per second, at which a replica can serve a class.
+MIN_RATE = 1e-6
 MAX_RESERVED_SHARE = 0.95
 MAX_REPLICAS = 100_000
 MAX_SLOTS = 1_000
 
-Demand = dict[tuple[str, str], tuple[Fraction, ...]]  # rates by slot, by class and zone of origin
+# The rates of each slot, by request class and zone of origin.
+Demand = dict[tuple[str, str], tuple[Fraction, ...]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,13 +58,13 @@
     problem: CapacityProblem
 
     def utc_span(self) -> tuple[datetime, datetime]:
-        """Start and end in UTC: added to a local time, hours would ignore a change of clocks."""
+        """Returns start and end in UTC. Adding hours to a local time would ignore a clock change."""
         start = self.starts_at.astimezone(UTC)
         return start, start + timedelta(seconds=self.slot_s * self.problem.slot_count)
 
 
 def fraction_parser(least: float, most: float) -> Callable[[Any], Fraction]:
-    """A parser of numbers within bounds that keeps them exactly as written: 0.1 is a tenth."""
+    """Returns a parser of numbers within bounds that keeps their exact decimal value: 0.1 is 1/10."""
     check_number = number_parser(least, most)
 
     def parse(value: Any) -> Fraction:
@@ -72,10 +75,11 @@
 
 
 def parse_rates(value: Any) -> tuple[Fraction, ...]:
-    """Parses a rate, or a text with one rate for each slot."""
+    """Parses a single rate, or a string with one rate for each slot."""
     texts = value.split() if isinstance(value, str) else [value]
     try:
-        # The bounds are checked as floats first: the exact value of 1e99999999 takes practically forever.
+        # The bounds are checked as floats first, because computing the exact value of 1e99999999 does not end
+        # in any reasonable time.
         rates = tuple(Fraction(str(text)) for text in texts if 0 <= float(text) <= MAX_FIGURE)
     except (ValueError, ZeroDivisionError):
         rates = ()
@@ -93,7 +97,7 @@
 
 
 def parse_local_time(value: Any) -> datetime:
-    """Parses an ISO 8601 time without offset."""
+    """Parses an ISO 8601 date and time without a UTC offset."""
     try:
         local_time = datetime.fromisoformat(parse_text(value))
     except ValueError:
@@ -104,7 +108,7 @@
 
 
 def is_unique_local_time(local_time: datetime, time_zone: ZoneInfo) -> bool:
-    """Whether the clocks show a time exactly once: a change of clocks skips times, or repeats them."""
+    """Whether a local time occurs exactly once. A clock change skips some times and repeats others."""
     earlier = local_time.replace(tzinfo=time_zone, fold=0)
     later = local_time.replace(tzinfo=time_zone, fold=1)
     return earlier.utcoffset() == later.utcoffset()
@@ -136,7 +140,7 @@
 
 
 class _EventFileParser:
-    """Parses the document of one file; errors gather in its nodes."""
+    """Parses the document of one file and records the errors at its nodes."""
 
     def __init__(self, root: Node) -> None:
         self._root = root
@@ -148,7 +152,7 @@
         self._reserved_share = Fraction(0)
 
     def parse(self) -> list[DemandEvent]:
-        """All events that are well-formed; the caller raises the errors of the others."""
+        """Returns all well-formed events; the caller raises the errors of the others."""
         self._parse_zones()
         self._reject_duplicates()
         self._parse_kinds()
@@ -160,7 +164,7 @@
         parsed = [self._parse_event(node) for node in self._root.children_named("event")]
         if not parsed:
             remedy = 'add a node such as event "festival" begins="2027-02-05T09:00" …'
-            self._root.add_error("no event", remedy, "event")
+            self._root.add_error("the file has no event", remedy, "event")
         self._root.reject_unread()
         return [event for event in parsed if event is not None]
 
@@ -183,7 +187,7 @@
             requests_per_s = {}
             for child in node.children_named("of"):
                 class_name = child.get_name("a class name")
-                # A missing rate is an error already; the 1 only lets the parser go on to the next errors.
+                # A missing rate has been recorded as an error. The 1 lets parsing continue to further errors.
                 rate = child.get("rate", fraction_parser(MIN_RATE, MAX_FIGURE)) or Fraction(1)
                 requests_per_s[class_name] = rate
                 child.reject_unread(expected_args=1)
@@ -213,7 +217,7 @@
         for node in self._root.children_named("kind"):
             for child in node.children_named("of"):
                 if child.args and child.args[0] not in self._classes:
-                    child.add_error("a class that is not here", "name one of " + ", ".join(self._classes))
+                    child.add_error("an unknown request class", "name one of " + ", ".join(self._classes))
 
     def _parse_replica_counts(self) -> None:
         for node in self._root.children_named("workers"):
@@ -240,18 +244,18 @@
             node.reject_unread()
 
     def _parse_event(self, node: Node) -> DemandEvent | None:
-        """The event of a node; None if it has no usable start or slot."""
+        """Returns the event of a node, or None if it has no valid start, time zone or slot length."""
         name = node.get_name("an event's name")
         time_zone = node.get("zone", parse_time_zone)
         local_start = node.get("begins", parse_local_time)
         slot_us = node.get("slot", parse_duration_us)
         slot_count = node.get("slots", integer_parser(1, MAX_SLOTS))
         if slot_us is not None and slot_us < US_PER_S:
-            node.add_error("a slot under a second", 'write such as slot="1h"', "slot")
+            node.add_error("a slot shorter than one second", 'write, for example, slot="1h"', "slot")
         if local_start and time_zone and not is_unique_local_time(local_start, time_zone):
             node.add_error(
-                "a local time that a clock change leaves out or brings twice",
-                "choose a time an hour before or after",
+                "a local time that a clock change skips or repeats",
+                "choose a time one hour earlier or later",
                 "begins",
             )
         demand = self._parse_demand(node, slot_count)
@@ -273,10 +277,12 @@
             rates = node.get("rates", parse_rates)
             if rates and slot_count and len(rates) not in (1, slot_count):
                 node.add_error(
-                    f"{len(rates)} rates for {slot_count} slots", "give one, or one for each slot", "rates"
+                    f"{len(rates)} rates for {slot_count} slots",
+                    "give one rate, or one for each slot",
+                    "rates",
                 )
             if (class_name, origin) in demand:
-                node.add_error("the same demand twice", "add them up in one node")
+                node.add_error("demand of this class and zone given twice", "add both up in one node")
             if rates and slot_count:
                 demand[class_name, origin] = rates * slot_count if len(rates) == 1 else rates
             node.reject_unread()
