--- a/gradehoist/capacity_planning/plan.py
+++ b/gradehoist/capacity_planning/plan.py
@@ -1,4 +1,4 @@
-"""Records of a capacity plan, as its JSON file stores them.
+"""The records of a capacity plan, as the JSON file stores them.
 
 The encoded names and the order of the fields are part of the file's format; `tests/test_encoded_forms.py`
 guards them.
@@ -16,11 +16,11 @@
 from gradehoist.capacity_planning.rounding import RATE_UNITS
 from gradehoist.capacity_planning.solver import PRICE_UNITS
 
-PLAN_VERSION = 1  # of the file's format
+PLAN_VERSION = 1  # The version of the file format.
 
 
 class ServedRate(msgspec.Struct, frozen=True, array_like=True):
-    """The rate of one flow, in units of which `RATE_UNITS` are one request per second."""
+    """The rate of one flow; `RATE_UNITS` rate units are one request per second."""
 
     request_class: str
     origin: str
@@ -31,7 +31,7 @@
 
 
 class Shortfall(NamedTuple):
-    """Demand that is not served; `requests_per_s` is an exact fraction written as text."""
+    """Demand that is not served; `requests_per_s` is an exact fraction in text form."""
 
     request_class: str
     origin: str
@@ -39,7 +39,7 @@
 
 
 class ReplicaAddition(NamedTuple):
-    """Replicas that would have to be added in a zone."""
+    """Replicas that would have to be added to a zone to meet all demand."""
 
     zone: str
     kind: str
@@ -47,7 +47,7 @@
 
 
 class LoadPrice(NamedTuple):
-    """The price of one replica's load in a group, in units of which `PRICE_UNITS` are 1."""
+    """The price of the load of one replica of a group; `PRICE_UNITS` price units are a price of 1."""
 
     zone: str
     kind: str
@@ -60,11 +60,11 @@
 
     Attributes:
         slot: The time slot.
-        lost_zones: The zones whose replicas are gone, in order.
+        lost_zones: The zones whose replicas are unavailable, sorted by name.
         served: The rate of each flow.
         shortfalls: The demand that is not served.
-        replicas_to_add: The additions that would mend the shortfalls; None where no number would.
-        prices: Prices of load, from which a bound shows that no plan serves more.
+        replicas_to_add: The additions with which all demand would be met; None if no number is enough.
+        prices: Prices of load. The upper bound that follows from them proves that no plan serves more.
     """
 
     slot: int
@@ -75,7 +75,7 @@
     prices: tuple[LoadPrice, ...] = ()
 
     def flows(self) -> dict[Flow, Fraction]:
-        """Requests per second of each flow."""
+        """Returns the requests per second of each flow."""
         return {
             Flow(s.request_class, s.origin, ReplicaGroup(s.zone, s.kind, s.cell)): Fraction(
                 s.rate_units, RATE_UNITS
@@ -84,33 +84,33 @@
         }
 
     def load_prices(self) -> dict[ReplicaGroup, Fraction]:
-        """The prices of load by group; none below 0, whatever the file says."""
+        """Returns the prices of load by group. Negative prices in the file count as 0."""
         return {
             ReplicaGroup(p.zone, p.kind, p.cell): Fraction(max(0, p.price_units), PRICE_UNITS)
             for p in self.prices
         }
 
     def describe(self) -> str:
-        """Which case this is, for messages."""
+        """Returns the slot and the lost zones of this case, for messages."""
         return describe_case(self.slot, self.lost_zones)
 
 
 def describe_case(slot: int, lost_zones: tuple[str, ...]) -> str:
-    """The name of a slot with some zones lost, for messages."""
+    """Returns the name of a slot with some zones lost, for messages."""
     return f"slot {slot}, lost {', '.join(lost_zones) or 'none'}"
 
 
 class CapacityPlan(msgspec.Struct, frozen=True):
-    """A plan for one event: every slot, with all zones and with each of them lost.
+    """A plan for one event: every slot, with all zones available and with each zone lost.
 
     Attributes:
         version: The version of the file's format.
         event: The event's name.
-        starts_at: The event's start in ISO 8601 with its offset.
+        starts_at: The start of the event in ISO 8601 with its UTC offset.
         time_zone: The name of the event's time zone.
         slot_s: The length of a slot in seconds.
         fleet_checksum: The checksum of the fleet that the plan was made for.
-        cases: Each slot with each loss of zones.
+        cases: Every slot with every planned loss of zones.
     """
 
     version: int
@@ -123,7 +123,10 @@
 
 
 def calculate_fleet_checksum(problem: CapacityProblem) -> str:
-    """A checksum that is the same for the same zones, kinds, classes and replicas. Plan files store it."""
+    """Returns a checksum of the zones, kinds, classes, replicas and reserved share.
+
+    Plan files store it, so its input must keep its form.
+    """
     kinds = [
         (name, sorted((class_name, str(rate)) for class_name, rate in kind.requests_per_s.items()))
         for name, kind in sorted(problem.kinds.items())
--- a/gradehoist/capacity_planning/planner.py
+++ b/gradehoist/capacity_planning/planner.py
@@ -1,4 +1,4 @@
-"""Making a capacity plan: every slot of an event, with all zones and with zones lost. Free of I/O."""
+"""Makes a capacity plan: every slot of an event, with all zones and with zones lost. Free of I/O."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 from gradehoist.capacity_planning.rounding import RATE_UNITS
 from gradehoist.capacity_planning.solver import PRICE_UNITS, Solution, solve
 
-# Requests per second that may be missing without being a shortfall: what rounding can leave unserved.
+# Requests per second below which unserved demand is no shortfall, because rounding alone can cause it.
 SHORTFALL_TOLERANCE = Fraction(1, 1000)
 
-ProgressCallback = Callable[[int, int], None]  # cases done, all cases
+# Called with the number of cases done and the number of all cases.
+ProgressCallback = Callable[[int, int], None]
 
 
 def _ignore_progress(done: int, total: int) -> None:
@@ -39,8 +40,8 @@
 
     Args:
         event: The event with its demand and fleet.
-        include_zone_pairs: Whether the loss of each two zones together is planned too.
-        on_progress: Called after each case with the number of cases done and of all.
+        include_zone_pairs: Whether to plan also for the simultaneous loss of any two zones.
+        on_progress: Called after each case with the number of cases done and the number of all cases.
 
     Raises:
         SolverError: The solver found no solution of a case.
--- a/gradehoist/capacity_planning/problem.py
+++ b/gradehoist/capacity_planning/problem.py
@@ -1,7 +1,8 @@
-"""The capacity planning problem, in exact figures; `docs/plans.md` states it. Free of I/O.
+"""The capacity planning problem in exact arithmetic, as `docs/plans.md` describes it. Free of I/O.
 
-Rates are requests per second. Replicas of one zone, kind and cell are alike and form a group. Which replica
-of a group serves a request is left to the weights, so the size of a plan does not grow with their number.
+Rates are requests per second. Replicas of one zone, kind and cell are interchangeable and form a group. The
+weights decide which replica of a group serves a request, so the size of a plan does not depend on the number
+of replicas.
 """
 
 from __future__ import annotations
@@ -11,7 +12,8 @@
 from fractions import Fraction
 from typing import NamedTuple
 
-DEFAULT_CROSSING_COST = Fraction(1)  # of a request served outside its zone, where the file names none
+# The cost of serving a request outside its zone if the event file gives none for the pair of zones.
+DEFAULT_CROSSING_COST = Fraction(1)
 
 
 class ReplicaGroup(NamedTuple):
@@ -36,9 +38,9 @@
 
     Attributes:
         name: The name that groups refer to.
-        requests_per_s: What one replica completes of each class if it serves nothing else. A class that is
-            not named can't run on this kind.
-        load_by_class: The share of one replica that one request per second of each class takes.
+        requests_per_s: The rate at which one replica completes requests of each class if it serves nothing
+            else. This kind can't serve a class that is not listed.
+        load_by_class: The share of one replica that one request per second of each class occupies.
     """
 
     name: str
@@ -46,14 +48,18 @@
     load_by_class: Mapping[str, Fraction] = field(init=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Derives the loads once: the solver asks for them often."""
+        """Computes the loads once, because the solver reads them often."""
         loads = {name: 1 / rate for name, rate in self.requests_per_s.items()}
         object.__setattr__(self, "load_by_class", loads)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests, its priority, and where it may be served; None stands for everywhere."""
+    """A class of requests with its priority and where it may be served.
+
+    `allowed_zones` and `allowed_kinds` are None if there is no restriction. A class with `zone_local` is
+    served only in the zone where its requests arrive.
+    """
 
     name: str
     priority_weight: Fraction
@@ -72,9 +78,10 @@
         classes: The request classes by name.
         replica_counts: The number of replicas of each group.
         demand: Requests per second in each slot, by class and zone of origin.
-        crossing_costs: The cost of a request from one zone in another; 1 for a pair that is not named.
-        reserved_share: The share of each group that is kept free.
-        current_flows: The flows of today, from which a plan changes as little as it can.
+        crossing_costs: The cost of a request that arrives in one zone and is served in another, by both
+            zones; `DEFAULT_CROSSING_COST` for a pair that is not listed.
+        reserved_share: The share of each group's capacity that is kept free.
+        current_flows: The present flows. Of equally good plans, the one that changes them least is chosen.
     """
 
     zones: tuple[str, ...]
@@ -92,7 +99,7 @@
         return max((len(rates) for rates in self.demand.values()), default=0)
 
     def allowed_flows(self, lost_zones: frozenset[str] = frozenset()) -> list[Flow]:
-        """All flows that the classes allow while zones are lost, sorted by name."""
+        """Returns all flows that the classes allow while zones are lost, sorted by name."""
         return [
             Flow(class_name, origin, group)
             for class_name, origin in sorted(self.demand)
@@ -112,15 +119,15 @@
         return not request_class.zone_local or group.zone == origin
 
     def capacity(self, group: ReplicaGroup) -> Fraction:
-        """The load that a group may carry, in replicas."""
+        """Returns the load that a group may carry, in replicas."""
         return self.replica_counts[group] * (1 - self.reserved_share)
 
     def load_per_request(self, flow: Flow) -> Fraction:
-        """The load of one request per second of a flow, in replicas."""
+        """Returns the load of one request per second of a flow, in replicas."""
         return self.kinds[flow.group.kind].load_by_class[flow.request_class]
 
     def crossing_cost(self, flow: Flow) -> Fraction:
-        """The cost of one request of a flow for leaving its zone; 0 within it."""
+        """Returns the cost of one request of a flow for being served outside its zone; 0 within it."""
         if flow.origin == flow.group.zone:
             return Fraction(0)
         return self.crossing_costs.get((flow.origin, flow.group.zone), DEFAULT_CROSSING_COST)
--- a/gradehoist/capacity_planning/rounding.py
+++ b/gradehoist/capacity_planning/rounding.py
@@ -1,4 +1,4 @@
-"""Rounding of the solver's flows to whole units, and repair of the bounds that it breaks. Free of I/O."""
+"""Rounds the solver's flows to whole units and repairs the bounds that rounding violates. Free of I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 from gradehoist.capacity_planning.problem import CapacityProblem, Flow, ReplicaGroup
 
-RATE_UNITS = 10_000  # units in one request per second: finer than any weight can express
+# The number of rate units in one request per second. A unit is finer than any weight can express.
+RATE_UNITS = 10_000
 
 
 def round_rate(rate: float) -> Fraction:
-    """A rate of the solver in whole units, and 0 for one that is below it by the solver's tolerance."""
+    """Rounds a rate to whole units. The solver's tolerance allows slightly negative rates; they become 0."""
     return Fraction(max(0, round(rate * RATE_UNITS)), RATE_UNITS)
 
 
@@ -36,7 +37,7 @@
 
 
 def _trim_to_capacity(problem: CapacityProblem, flows: dict[Flow, Fraction]) -> None:
-    """Takes excess load from the flows with the least priority weight for their load."""
+    """Takes excess load from the flows with the least priority weight per load."""
 
     def weight_per_load(flow: Flow) -> tuple[Fraction, Flow]:
         weight = problem.classes[flow.request_class].priority_weight
--- a/gradehoist/capacity_planning/solver.py
+++ b/gradehoist/capacity_planning/solver.py
@@ -1,8 +1,9 @@
-"""The solver of one time slot: a sequence of linear programs over HiGHS.
+"""Solves one time slot as a sequence of linear programs with HiGHS.
 
-The objectives follow one another on one model, so that each starts from the last one's basis: the most
-weighted rate, then the least crossing cost, then the least change from today, then a fixed rule for ties. The
-result is rounded to whole units and repaired in exact arithmetic; `verification` checks it independently.
+The objectives are optimized one after another on the same model, so that each starts from the basis of the
+previous one: the greatest weighted rate, then the least crossing cost, then the least change from the present
+flows, then a fixed rule for ties. The result is rounded to whole units and repaired in exact arithmetic;
+`verification` checks it independently.
 """
 
 from __future__ import annotations
@@ -21,11 +22,18 @@
 from gradehoist.capacity_planning.rounding import repair_rounded_flows, round_rate
 from gradehoist.capacity_planning.verification import calculate_weighted_rate, find_violations
 
-OBJECTIVE_SLACK = 1e-6  # that later objectives may lose: over the solver's tolerance, well under a rate unit
-PRICE_UNITS = 10**9  # prices of load are whole parts of it: any price bounds, a near one nearly as well
-TIME_LIMIT_S = 300.0  # for one program: a slot of 118 replicas takes some hundredths of a second
-RANDOM_SEED = 1  # fixed, so that every governor finds the same plan
-TIE_BREAK_MODULUS = 9973  # a prime: the weights of ties are its parts, above 0 and up to 1
+# How much of an earlier objective a later one may give up. It is greater than the solver's tolerance and much
+# less than a rate unit.
+OBJECTIVE_SLACK = 1e-6
+# The number of price units in a price of 1; prices of load are rounded to whole units. Rounding is harmless:
+# any prices give a valid upper bound, and prices near the exact ones give one that is nearly as tight.
+PRICE_UNITS = 10**9
+# The time limit of one program. A slot with 118 replicas takes some hundredths of a second.
+TIME_LIMIT_S = 300.0
+# The seed is fixed, so that every governor computes the same plan.
+RANDOM_SEED = 1
+# A prime. Tie-break weights are multiples of 1 / TIE_BREAK_MODULUS, greater than 0 and at most 1.
+TIE_BREAK_MODULUS = 9973
 INFINITY = highspy.kHighsInf
 
 
@@ -35,11 +43,12 @@
 
     Attributes:
         slot: The time slot.
-        lost_zones: The zones whose replicas are gone.
+        lost_zones: The zones whose replicas are unavailable.
         flows: Requests per second of each flow that is not 0.
         shortfalls: Requests per second that are not served, by class and zone of origin.
         weighted_rate: The value of the first objective.
-        prices: The prices of load from which `verification.calculate_upper_bound` bounds any plan.
+        prices: The prices of load, from which `verification.calculate_upper_bound` computes a bound that no
+            plan exceeds.
         crossing_cost: The value of the second objective.
     """
 
@@ -53,7 +62,7 @@
 
 
 def create_solver() -> Any:
-    """A silent and deterministic HiGHS solver.
+    """Creates a deterministic HiGHS solver that prints nothing.
 
     The public wrapper class prints a banner to standard output when it is constructed, before any option can
     be set. Its base class does not.
@@ -63,7 +72,8 @@
     highs.setOptionValue("threads", 1)
     highs.setOptionValue("random_seed", RANDOM_SEED)
     highs.setOptionValue("time_limit", TIME_LIMIT_S)
-    highs.setOptionValue("mip_rel_gap", 0.0)  # the fewest replicas, not nearly the fewest
+    # The default gap would accept a number of replicas that is only close to the minimum.
+    highs.setOptionValue("mip_rel_gap", 0.0)
     return highs
 
 
@@ -73,19 +83,22 @@
 
 
 def tie_break_weight(flow: Flow) -> float:
-    """The cost of a flow in the last objective, from names alone.
+    """Returns the cost of a flow in the last objective, which depends on names alone.
 
-    It makes equally good plans one and the same at every governor.
+    It makes every governor choose the same one of equally good plans.
     """
     names = (flow.request_class, flow.origin, *flow.group)
     return (zlib.crc32(repr(names).encode()) % TIE_BREAK_MODULUS + 1) / TIE_BREAK_MODULUS
 
 
 class SlotProgram:
-    """The linear program of one slot. Columns: the flows, then the change of each from today."""
+    """The linear program of one slot.
+
+    Its columns are the flows, followed by the change of each from its present rate.
+    """
 
     def __init__(self, problem: CapacityProblem, slot: int, lost_zones: frozenset[str]) -> None:
-        """Builds the program with its bounds; objectives are set one after the other."""
+        """Builds the program with its bounds; `minimize` sets an objective."""
         self.problem = problem
         self.slot = slot
         self.flows = problem.allowed_flows(lost_zones)
@@ -116,7 +129,7 @@
             add_row(self._highs, -INFINITY, float(self.problem.capacity(group)), columns, loads)
 
     def minimize(self, costs: list[float]) -> float:
-        """Minimizes the sum of costs times columns and returns it.
+        """Minimizes the sum of costs times columns and returns the minimum.
 
         Raises:
             SolverError: The solver found no optimum.
@@ -131,7 +144,7 @@
         return float(self._highs.getInfo().objective_function_value)
 
     def minimize_and_keep(self, costs: list[float]) -> None:
-        """Minimizes the costs and binds later objectives to the minimum.
+        """Minimizes the costs and adds a constraint that keeps later objectives at the minimum.
 
         Raises:
             SolverError: The solver found no optimum.
@@ -142,7 +155,7 @@
         add_row(self._highs, -INFINITY, minimum + OBJECTIVE_SLACK, columns, values)
 
     def add_change_columns(self) -> list[float]:
-        """Adds a column for the change of each flow from today, and returns the costs that minimize them."""
+        """Adds a column for the change of each flow, and returns the costs that minimize the changes."""
         for column, flow in enumerate(self.flows):
             change = self._highs.getNumCol()
             current = float(self.problem.current_flows.get(flow, Fraction(0)))
@@ -152,12 +165,12 @@
         return [0.0] * len(self.flows) + [1.0] * len(self.flows)
 
     def rounded_flows(self) -> dict[Flow, Fraction]:
-        """The flows of the last objective in whole rate units; rounding may break a bound by a unit."""
+        """Returns the last objective's flows in whole rate units; rounding may exceed a bound by a unit."""
         values = self._highs.getSolution().col_value
         return {flow: round_rate(values[column]) for column, flow in enumerate(self.flows)}
 
     def load_prices(self) -> dict[ReplicaGroup, Fraction]:
-        """The dual values of the capacities for the last objective: the price of one replica's load."""
+        """Returns the prices of one replica's load: the capacities' dual values for the last objective."""
         duals = self._highs.getSolution().row_dual
         first_row = len(self._demand_keys)
         prices = {}
@@ -167,10 +180,10 @@
 
 
 def solve(problem: CapacityProblem, slot: int, lost_zones: frozenset[str] = frozenset()) -> Solution:
-    """Finds the best flows of one slot. Demand that can't be met is no error but a shortfall.
+    """Finds the best flows of one slot. Demand that can't be met becomes a shortfall, not an error.
 
     Raises:
-        SolverError: The solver found no optimum, or flows that break a bound.
+        SolverError: The solver found no optimum, or its flows violate a bound.
     """
     program = SlotProgram(problem, slot, lost_zones)
     flows: dict[Flow, Fraction] = {}
--- a/gradehoist/capacity_planning/verification.py
+++ b/gradehoist/capacity_planning/verification.py
@@ -1,4 +1,4 @@
-"""Checks of flows apart from the solver, in exact arithmetic. Free of I/O."""
+"""Checks flows independently of the solver, in exact arithmetic. Free of I/O."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True, slots=True)
 class BoundViolation:
-    """A bound of the problem that flows break; its text describes which and by how much."""
+    """A bound of the problem that flows violate; the description says which one and by how much."""
 
     description: str
 
     def __str__(self) -> str:
-        """The description, as the command line prints it."""
+        """Returns the description, as the command line prints it."""
         return self.description
 
 
 def find_violations(
     problem: CapacityProblem, slot: int, lost_zones: frozenset[str], flows: Mapping[Flow, Fraction]
 ) -> list[BoundViolation]:
-    """Every bound that the flows break; empty for flows that are valid."""
+    """Returns every bound that the flows violate; empty for valid flows."""
     violations: list[BoundViolation] = []
     load: dict[ReplicaGroup, Fraction] = defaultdict(Fraction)
     served: dict[tuple[str, str], Fraction] = defaultdict(Fraction)
@@ -35,7 +35,7 @@
         if rate and flow not in allowed:
             violations.append(
                 BoundViolation(
-                    f"{flow.request_class} from {flow.origin} is not open at "
+                    f"{flow.request_class} from {flow.origin} may not be served by "
                     f"{flow.group.zone}/{flow.group.kind}"
                 )
             )
@@ -52,8 +52,8 @@
 ) -> list[BoundViolation]:
     return [
         BoundViolation(
-            f"{group.zone}/{group.kind} carries {float(load):.6g} workers' worth, "
-            f"{float(problem.capacity(group)):.6g} may be"
+            f"{group.zone}/{group.kind} carries the load of {float(load):.6g} workers, "
+            f"but may carry only {float(problem.capacity(group)):.6g}"
         )
         for group, load in load_by_group.items()
         if load > problem.capacity(group)
@@ -73,7 +73,7 @@
 
 
 def _describe_flow(flow: Flow) -> str:
-    """A flow as the command line has always printed it; `cls` is part of that output."""
+    """Returns a flow as the command line prints it; `cls` and `Group` are part of that output."""
     return f"Flow(cls={flow.request_class!r}, origin={flow.origin!r}, group={_describe_group(flow.group)})"
 
 
@@ -82,7 +82,7 @@
 
 
 def calculate_weighted_rate(problem: CapacityProblem, flows: Mapping[Flow, Fraction]) -> Fraction:
-    """The solver's first objective: the sum of rates, each times the priority weight of its class."""
+    """Returns the solver's first objective: the sum of rates times the priority weights of their classes."""
     weighted = (rate * problem.classes[flow.request_class].priority_weight for flow, rate in flows.items())
     return sum(weighted, Fraction(0))
 
@@ -90,7 +90,10 @@
 def calculate_rounding_tolerance(
     problem: CapacityProblem, lost_zones: frozenset[str], units_per_request: int
 ) -> Fraction:
-    """The weighted rate that rounding may cost: two units of each flow, one rounded and one repaired."""
+    """Returns the weighted rate that rounding may cost.
+
+    Each flow may lose two rate units: one to rounding and one to the repair of bounds.
+    """
     largest_weight = max((c.priority_weight for c in problem.classes.values()), default=Fraction(0))
     return 2 * len(problem.allowed_flows(lost_zones)) * largest_weight / units_per_request
 
@@ -98,10 +101,10 @@
 def calculate_upper_bound(
     problem: CapacityProblem, slot: int, lost_zones: frozenset[str], prices: Mapping[ReplicaGroup, Fraction]
 ) -> Fraction:
-    """A bound that no plan's weighted rate exceeds, whatever the prices of load (each at least 0).
+    """Returns a bound that the weighted rate of no plan exceeds, for any prices of load that are at least 0.
 
-    It follows from weak duality, with the least price of demand that the prices of load allow. The nearer
-    these are to the solver's dual values, the tighter is the bound.
+    It follows from weak duality, with the least prices of demand that the prices of load allow. The closer
+    the prices of load are to the solver's dual values, the tighter the bound.
     """
     demand_price: dict[tuple[str, str], Fraction] = defaultdict(Fraction)
     for flow in problem.allowed_flows(lost_zones):
--- a/tests/test_capacity_planning.py
+++ b/tests/test_capacity_planning.py
@@ -232,8 +232,8 @@
     assert not verification.find_violations(p, 0, none, {Flow("read", "a", a): Fraction(2)})
     broken = (
         ({Flow("read", "a", a): Fraction(2) + Fraction(1, 10**9)}, "carries"),
-        ({Flow("read", "a", a): Fraction(2), Flow("read", "a", b): Fraction(3, 2)}, "served"),
-        ({Flow("write", "a", a): Fraction(1)}, "not open"),
+        ({Flow("read", "a", a): Fraction(2), Flow("read", "a", b): Fraction(3, 2)}, "served of"),
+        ({Flow("write", "a", a): Fraction(1)}, "may not be served by"),
         ({Flow("read", "a", a): Fraction(-1)}, "below"),
     )
     for flows, said in broken:
@@ -337,9 +337,9 @@
         (lambda case, event: scale_first_rate(case, -1), "cell='')): a rate below zero"),
         (
             lambda case, event: msgspec.structs.replace(case, served=case.served[1:]),
-            "falls short by another figure",
+            "the stated shortfall differs from that of the flows",
         ),
-        (serve_nothing, "less a second than it may"),
+        (serve_nothing, "less weighted requests per second than possible"),
     ],
     ids=["more than demanded", "below zero", "unstated shortfall", "needless shortfall"],
 )
