--- a/gradehoist/cli/__init__.py
+++ b/gradehoist/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The command line: one module of commands a group, and one of what each group does.
+"""The command line: for each group of commands, one module that defines them and others that implement them.
 
-The `*_commands` modules parse options and set exit codes. They import what a command needs when it runs, so
-that help and checks of settings are quick.
+The `*_commands` modules parse options and set exit codes. They import the implementation only when a command
+runs, so that showing help and checking settings stay fast.
 """
--- a/gradehoist/cli/cell_status.py
+++ b/gradehoist/cli/cell_status.py
@@ -1,4 +1,4 @@
-"""`gradehoist cells show`: a placement, with the load that governors observe in each cell."""
+"""Implements `gradehoist cells show`: a placement, with the load that governors observe in each cell."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
 from gradehoist.net.client import HttpClient
 from gradehoist.settings.fleet import CellPlacement, GovernorSettings, Settings
 
-CONNECT_TIMEOUT_S = 0.5  # to a governor: one that is down must not hold up the others' answers for long
-NAMES_SHOWN = 4  # of replicas or tenants in one line of the table
+# The timeout for connecting to a governor. It is short, so that one that is down does not delay the output.
+CONNECT_TIMEOUT_S = 0.5
+# The number of replicas or tenants that a row of the table names.
+NAMES_SHOWN = 4
 LEFT_COLUMNS = ("cell", "workers", "")
 PLACEMENT_COLUMNS = ("cell", "workers", "tenants")
 STATUS_COLUMNS = ("ready", "load", "headroom", "came", "unanswered", "leaving", "coming")
@@ -29,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CellStatus:
-    """What governors observe of one cell: counts are sums over them, the other figures their means."""
+    """What governors observe of one cell.
+
+    `requests` and `incomplete` are sums over the governors, the other values are means.
+    """
 
     replicas: float
     ready: float
@@ -41,19 +46,19 @@
 
 @dataclass(slots=True)
 class _MigrationState:
-    """What the records of migrations say beside the placement."""
+    """What the records of migrations add to the placement."""
 
     migrations: list[Migration] = field(default_factory=list)
     draining_cells: tuple[str, ...] = ()
 
 
 def show_placement(placement: CellPlacement) -> None:
-    """Prints the cells of a placement alone."""
+    """Prints the cells of a placement without their status."""
     _print_cells(placement, _MigrationState(), None)
 
 
 def show_cells(placement: CellPlacement, store: Path, statuses: Mapping[str, CellStatus]) -> None:
-    """Prints the cells with migrations, load and headroom.
+    """Prints the cells with their migrations, load and headroom.
 
     Raises:
         InputError: The records of migrations can't be read.
@@ -94,7 +99,7 @@
 
 
 def _format_status(status: CellStatus | None) -> list[str]:
-    """The cells of the table from `ready` to `unanswered`; question marks where no governor knows them."""
+    """Returns the columns from `ready` to `unanswered`; question marks if no governor knows the cell."""
     if status is None:
         return ["?"] * 5
     return [
@@ -107,7 +112,7 @@
 
 
 def fetch_cell_statuses(settings: Settings) -> tuple[dict[str, CellStatus], list[str]]:
-    """Asks all governors at once.
+    """Queries all governors concurrently.
 
     Returns:
         The status of each cell, and the names of the governors that did not answer.
@@ -127,7 +132,7 @@
 
 
 async def _fetch_cells(governor: GovernorSettings) -> dict[str, Any] | None:
-    """The `cells` object of a governor's status; None if it does not answer."""
+    """Returns the `cells` object of a governor's status, or None if the governor does not answer."""
     client = HttpClient(*governor.listen_address, connect_timeout_s=CONNECT_TIMEOUT_S)
     try:
         status = await fetch_governor_status(client)
--- a/gradehoist/cli/cells_commands.py
+++ b/gradehoist/cli/cells_commands.py
@@ -15,21 +15,23 @@
     type=FOLDER,
     default=Path("var/moves"),
     show_default=True,
-    help="The folder of all moves' records; one for an installation.",
+    help="The folder with the records of all moves; an installation has one.",
 )
 
 
 @click.group()
 def cells() -> None:
-    """Tenants confined to subsets of workers."""
+    """Manages cells: subsets of the workers, to which tenants are confined."""
 
 
 @cells.command("place")
 @click.argument("tenants", metavar="TENANTS.csv", type=FILE)
 @click.argument("workers", metavar="WORKERS.csv", type=FILE)
-@click.option("--cells", "cell_count", type=click.IntRange(1, 10_000), required=True, help="Cells wanted.")
-@click.option("--out", type=FILE, required=True, help="The placement file that the settings name.")
-@click.option("--before", type=FILE, help="An earlier placement, kept as far as it can be.")
+@click.option(
+    "--cells", "cell_count", type=click.IntRange(1, 10_000), required=True, help="The number of cells."
+)
+@click.option("--out", type=FILE, required=True, help="The placement file to write, which the settings name.")
+@click.option("--before", type=FILE, help="An earlier placement, which is changed as little as possible.")
 @click.option("--least-workers", type=click.IntRange(1), default=2, show_default=True)
 @click.option("--least-zones", type=click.IntRange(1), default=1, show_default=True)
 @click.option(
@@ -37,9 +39,11 @@
     type=click.FloatRange(0, 0.95),
     default=0.2,
     show_default=True,
-    help="Part of each cell that is kept free.",
+    help="The share of each cell's capacity that is kept free.",
+)
+@click.option(
+    "--lose-zone", is_flag=True, help="Keep enough capacity in each cell for the loss of its largest zone."
 )
-@click.option("--lose-zone", is_flag=True, help="Leave room in each cell for the loss of its largest zone.")
 def place_cells(  # noqa: PLR0913 - click passes each option as a parameter
     tenants: Path,
     workers: Path,
@@ -51,8 +55,10 @@
     spare: float,
     lose_zone: bool,
 ) -> None:
-    """Makes a placement from tenants (tenant,demand) and workers (worker,zone,kind,size); exit 1 if something
-    asked for could not be had, with the placement written all the same."""
+    """Makes a placement from CSV files of tenants (tenant,demand) and workers (worker,zone,kind,size).
+
+    Exits with 1 if the placement does not meet every requirement; it is written in this case too.
+    """
     from gradehoist.cells.placement import PlacementRequirements
     from gradehoist.cli.placement_files import make_placement, save_placement
 
@@ -78,8 +84,11 @@
 @click.argument("path", metavar="SETTINGS", type=FILE)
 @STORE_OPTION
 def show_cells(path: Path, store: Path) -> None:
-    """Shows who lives where; of settings (.kdl) also load, headroom and moves, of a placement (.json) that
-    alone."""
+    """Shows the workers and tenants of each cell.
+
+    For a settings file (.kdl), it also shows load, headroom and moves; for a placement file (.json), the
+    placement alone.
+    """
     from gradehoist.cli import cell_status
     from gradehoist.cli.placement_files import load_placement, require_placement
 
@@ -99,12 +108,15 @@
 @cells.command("move")
 @click.argument("path", metavar="SETTINGS", type=FILE)
 @click.argument("tenants", metavar="TENANT...", nargs=-1)
-@click.option("--to", "target", default="", help="The cell they move to.")
-@click.option("--half-of", default="", help="Every other tenant of this cell, as after a split.")
+@click.option("--to", "target", default="", help="The cell to which the tenants move.")
+@click.option("--half-of", default="", help="Move every other tenant of this cell, as after a split.")
 @STORE_OPTION
 def move_tenants(path: Path, tenants: tuple[str, ...], target: str, half_of: str, store: Path) -> None:
-    """Moves tenants to another cell and follows each to its end. Without tenants it goes on with what is
-    under way, as after a kill. Exit 1 where a move was stopped or undone."""
+    """Moves tenants to another cell and waits until each move has ended.
+
+    Without tenants, it resumes the moves that are under way, for example after this command was killed. Exits
+    with 1 if a move was stopped or undone.
+    """
     from gradehoist.cli import migrations
 
     settings = load_settings(path)
@@ -112,7 +124,7 @@
         if half_of:
             tenants += migrations.select_half_of_tenants(settings, store, half_of)
         if tenants and not target:
-            raise InputError("no cell to move to; say --to CELL")
+            raise InputError("no target cell is given; add --to CELL")
         all_done = migrations.migrate_tenants(settings, store, dict.fromkeys(tenants, target))
     sys.exit(0 if all_done else 1)
 
@@ -120,11 +132,13 @@
 @cells.command("drain")
 @click.argument("path", metavar="SETTINGS", type=FILE)
 @click.argument("cell", metavar="CELL")
-@click.option("--end", is_flag=True, help="Opens the cell to moves again.")
+@click.option("--end", is_flag=True, help="Allow moves into the cell again.")
 @STORE_OPTION
 def drain_cell(path: Path, cell: str, end: bool, store: Path) -> None:
-    """Moves all tenants of a cell to the others and lets none in until it is ended. Exit 1 where a move was
-    stopped or undone."""
+    """Moves all tenants of a cell to other cells and allows no moves into it until the drain is ended.
+
+    Exits with 1 if a move was stopped or undone.
+    """
     from gradehoist.cli import migrations
 
     settings = load_settings(path)
@@ -144,8 +158,11 @@
 @click.option("--into", "new_cell", required=True, help="The new cell's name.")
 @click.option("--out", type=FILE, required=True, help="The new placement file.")
 def split_cell(path: Path, workers: Path, cell: str, new_cell: str, out: Path) -> None:
-    """Deals a cell's workers to it and a new cell. Then: governors anew with the new file, one at a time; the
-    new cell's workers anew; cells move --half-of CELL --to NEW."""
+    """Divides the workers of a cell between it and a new cell.
+
+    Afterwards, restart the governors with the new file, one at a time; restart the workers of the new cell;
+    and run cells move --half-of CELL --to NEW.
+    """
     from gradehoist.cli import placement_files
 
     placement = placement_files.split_cell(placement_files.load_placement(path), workers, cell, new_cell)
@@ -163,7 +180,7 @@
 @click.argument("migration_id", metavar="MOVE")
 @STORE_OPTION
 def undo_move(migration_id: str, store: Path) -> None:
-    """Turns a move back; `cells move SETTINGS` carries it out, also one that runs now."""
+    """Records that a move is to be undone; `cells move SETTINGS`, also one that runs now, carries it out."""
     from gradehoist.migration.planning import undo_migration
 
     try:
@@ -176,7 +193,7 @@
 @cells.command("moves")
 @STORE_OPTION
 def list_moves(store: Path) -> None:
-    """Lists all moves and where they stand."""
+    """Lists all moves and the step that each has reached."""
     from gradehoist.cli.migrations import show_migrations
 
     show_migrations(store)
@@ -188,22 +205,28 @@
     "--run",
     "update_command",
     default="",
-    help="The command that renews one worker, with {worker} and {cell} in it.",
+    help="The command that updates one worker; {worker} and {cell} are replaced in it.",
+)
+@click.option(
+    "--back", "rollback_command", default="", help="The command that restores a worker after a halt."
 )
 @click.option(
-    "--back", "rollback_command", default="", help="The command that puts a worker back after a halt."
+    "--cell", "some_cells", multiple=True, help="A cell to update, in the order given; all cells by default."
 )
 @click.option(
-    "--cell", "some_cells", multiple=True, help="A cell to renew, in this order; all if none is named."
+    "--batch",
+    type=click.IntRange(1),
+    default=1,
+    show_default=True,
+    help="The number of workers updated at a time.",
 )
-@click.option("--batch", type=click.IntRange(1), default=1, show_default=True, help="Workers at a time.")
 @click.option(
     "--soak",
     "soak_s",
     type=click.FloatRange(0.5, 86_400),
     default=60.0,
     show_default=True,
-    help="Seconds that a renewed cell is watched, and compared with as many before.",
+    help="Seconds for which an updated cell is observed and compared with the same time before.",
 )
 @click.option(
     "--patience",
@@ -211,7 +234,7 @@
     type=click.FloatRange(1, 86_400),
     default=120.0,
     show_default=True,
-    help="Seconds for a renewed worker to be listed as ready again.",
+    help="Seconds within which an updated worker has to be listed as ready again.",
 )
 @STORE_OPTION
 def release_cells(  # noqa: PLR0913 - click passes each option as a parameter
@@ -224,8 +247,11 @@
     return_timeout_s: float,
     store: Path,
 ) -> None:
-    """Renews the workers of one cell after another and halts where a cell is harmed. Without --run it goes on
-    with what is under way, as after a kill. Exit 1 where it halted."""
+    """Updates the workers of one cell after another and halts if the update harms a cell.
+
+    Without --run, it resumes the release that is under way, for example after this command was killed. Exits
+    with 1 if the release halted.
+    """
     from gradehoist.cli.rollouts import RolloutOptions, run_rollout
 
     settings = load_settings(path)
--- a/gradehoist/cli/errors.py
+++ b/gradehoist/cli/errors.py
@@ -10,14 +10,14 @@
 
 
 class InputError(click.ClickException):
-    """Bad use, settings or input: one clear line or more for the user, exit 2."""
+    """Invalid arguments, settings or input; the message is printed for the user, and the exit code is 2."""
 
     exit_code = 2
 
 
 @contextmanager
 def errors_located_in(path: Path) -> Iterator[None]:
-    """Puts a file's path before the text of input errors."""
+    """Prefixes the messages of input errors with the path of a file."""
     try:
         yield
     except InputError as error:
--- a/gradehoist/cli/governor_commands.py
+++ b/gradehoist/cli/governor_commands.py
@@ -1,4 +1,4 @@
-"""The commands of one governor: `check`, `governor` and `openapi`."""
+"""The commands `gradehoist check`, `gradehoist governor` and `gradehoist openapi`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @click.command()
 @click.argument("path", metavar="SETTINGS", type=FILE)
 def check(path: Path) -> None:
-    """Reads the settings, reports every error, starts nothing."""
+    """Checks the settings and reports every error, without starting anything."""
     settings = load_settings(path)
     names = ", ".join(governor.name for governor in settings.governors)
     click.echo(
@@ -27,14 +27,14 @@
 
 @click.command()
 @click.argument("path", metavar="SETTINGS", type=FILE)
-@click.option("--name", required=True, help="Which governor of the settings this process is.")
+@click.option("--name", required=True, help="The name of this governor in the settings.")
 @click.option(
     "--log",
     "log_format",
     type=click.Choice(["auto", "json", "plain"]),
     default="auto",
     show_default=True,
-    help="One JSON line an event, or text for a person (auto: on a terminal).",
+    help="One JSON line per event, or readable text; auto writes text to a terminal and JSON elsewhere.",
 )
 def governor(path: Path, name: str, log_format: str) -> None:
     """Runs one governor until SIGTERM or Ctrl-C."""
@@ -63,7 +63,7 @@
     except OSError as error:
         raise InputError(
             f"{path}: governor {name!r} > listen: {error.strerror or error}; "
-            "free the address or name another"
+            "free the address or configure another one"
         ) from None
 
 
--- a/gradehoist/cli/logs.py
+++ b/gradehoist/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: one JSON line an event, or aligned text for a person."""
+"""Structured logs on standard error: one JSON line per event, or aligned text for a reader."""
 
 from __future__ import annotations
 
--- a/gradehoist/cli/main.py
+++ b/gradehoist/cli/main.py
@@ -16,19 +16,20 @@
 
 
 class RootGroup(click.Group):
-    """The root command: earlier names of commands, and one line for a folder or disk that fails."""
+    """The root command: supports earlier names of commands and reports OS errors in one line."""
 
-    ALIASES = MappingProxyType({"day": "scenario"})  # the earlier name, which scripts still use
+    # Earlier names of commands, which scripts still use.
+    ALIASES = MappingProxyType({"day": "scenario"})
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """The command of that present or earlier name."""
+        """Returns the command with a present or earlier name."""
         return super().get_command(context, self.ALIASES.get(name, name))
 
     def invoke(self, context: click.Context) -> Any:
         """Runs a command and reports an OSError in one line.
 
-        Commands write their records completely or not at all, so a command that a full disk ended can be run
-        again.
+        Commands write each record completely or not at all, so a command that failed because of a full disk
+        can be run again.
 
         Raises:
             InputError: A folder can't be written, or its disk is full.
@@ -36,8 +37,9 @@
         try:
             return super().invoke(context)
         except OSError as error:
+            # Click itself handles a closed reader of standard output.
             if error.errno == errno.EPIPE:
-                raise  # click handles a reader of our output that has gone
+                raise
             raise InputError(
                 f"{error.filename or context.invoked_subcommand}: {error.strerror or error}; "
                 "see to the folder and its disk, then run it again"
@@ -49,7 +51,8 @@
 def main() -> None:
     """A central planner that publishes weights, withdrawals and admission shares to plain proxies.
 
-    Exit codes: 0 all well, 1 a rule or an expectation does not hold, 2 bad use, settings or input.
+    Exit codes: 0 for success, 1 if a rule or an expectation does not hold, 2 for invalid arguments, settings
+    or input.
     """
 
 
--- a/gradehoist/cli/migrations.py
+++ b/gradehoist/cli/migrations.py
@@ -1,4 +1,4 @@
-"""Migrations of tenants between cells, from the command line: `cells move`, `drain` and `moves`."""
+"""Implements `gradehoist cells move`, `drain` and `moves`: migrations of tenants between cells."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def select_half_of_tenants(settings: Settings, store: Path, cell: str) -> tuple[str, ...]:
-    """Every other tenant of a cell in the order of their hashes, to be moved after a split.
+    """Returns every other tenant of a cell in the order of their hashes, to be migrated after a split.
 
     Raises:
         InputError: There is no placement, or the records of migrations can't be read.
@@ -41,16 +41,18 @@
 
 
 def migrate_tenants(settings: Settings, store: Path, target_by_tenant: Mapping[str, str]) -> bool:
-    """Runs new migrations and all that are pending to their end; returns whether each reached its target.
+    """Runs new and pending migrations until they have ended; returns whether each reached its target.
 
     Raises:
-        InputError: There is no placement, another process migrates, or a migration is not possible.
+        InputError: There is no placement, another process runs migrations, or a migration is not possible.
     """
     require_placement(settings)
     try:
         lock = FolderLock(store)
     except FolderLockedError as error:
-        raise InputError(f"{error}; one mover at a time, wait for it or end it") from None
+        raise InputError(
+            f"{error}; only one process at a time may run moves, so wait for it or end it"
+        ) from None
     try:
         if target_by_tenant:
             create_migrations(store, settings, target_by_tenant)
@@ -84,7 +86,11 @@
 def _migrate_all_away(
     settings: Settings, store: Path, placement: CellPlacement, cell: str, draining: tuple[str, ...]
 ) -> bool:
-    """Repeats rounds until none is left: a tenant on its way into the cell, or turned back, follows later."""
+    """Migrates tenants away in rounds until none is left.
+
+    One round is not enough: a tenant with a pending migration, into this cell or back to it after an
+    undo, can only be migrated away once that migration has ended.
+    """
     while True:
         migrations = load_migrations(store)
         target_by_tenant = plan_cell_drain(cell, migrations, placement, draining)
--- a/gradehoist/cli/options.py
+++ b/gradehoist/cli/options.py
@@ -1,4 +1,4 @@
-"""Types of arguments that several groups of commands share, and the reading of the settings they name."""
+"""Argument types that several groups of commands share, and loading of the settings file."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """Reads the settings of a fleet.
 
     Raises:
-        InputError: The file can't be read or has errors; it lists all of them.
+        InputError: The file can't be read or has errors; the message lists all of them.
     """
     try:
         return read_settings(path)
--- a/gradehoist/cli/placement_files.py
+++ b/gradehoist/cli/placement_files.py
@@ -1,4 +1,4 @@
-"""Making, splitting, reading and writing of placement files, and the CSV files they are made from."""
+"""Makes, splits, reads and writes placement files, and reads the CSV files they are made from."""
 
 from __future__ import annotations
 
@@ -20,19 +20,21 @@
 
 REPLICA_COLUMNS = ("worker", "zone", "kind", "size")
 TENANT_COLUMNS = ("tenant", "demand")
-FIRST_DATA_LINE = 2  # of a CSV file: line 1 is the header
-MAX_NUMBER = 1e12  # of sizes and demand: rejects infinity, nan and slips of the pen
+# The line number of the first row of data in a CSV file: line 1 is the header.
+FIRST_DATA_LINE = 2
+# Sizes and demand have to be below it, which rejects infinity, NaN and typing errors.
+MAX_NUMBER = 1e12
 
 
 def _read_rows(path: Path, columns: tuple[str, ...]) -> list[dict[str, str]]:
-    """The rows of a CSV file with a header line."""
+    """Reads the rows of a CSV file with a header line."""
     try:
         with path.open(encoding="utf-8", newline="") as file:
             reader = csv.DictReader(file)
             missing = [column for column in columns if column not in (reader.fieldnames or ())]
             if missing:
                 raise InputError(
-                    f"{path}:1: no column {', '.join(missing)}; the head line is {','.join(columns)}"
+                    f"{path}:1: no column {', '.join(missing)}; the header line has to be {','.join(columns)}"
                 )
             return list(reader)
     except (OSError, UnicodeDecodeError) as error:
@@ -46,7 +48,7 @@
         value = -1.0
     if not 0 <= value < MAX_NUMBER:
         raise InputError(
-            f"{path}:{line}: {column}: expected a number from 0 up, got {text!r}; correct it"
+            f"{path}:{line}: {column}: expected a number that is at least 0, got {text!r}"
         ) from None
     return value
 
@@ -69,12 +71,14 @@
     """Reads a placement file.
 
     Raises:
-        InputError: The file can't be read, or holds no placement.
+        InputError: The file can't be read, or is not a placement file.
     """
     try:
         placement: CellPlacement = msgspec.json.decode(path.read_bytes(), type=CellPlacement)
     except (OSError, msgspec.MsgspecError) as error:
-        raise InputError(f"{path}: no placement: {error}; make one with gradehoist cells place") from None
+        raise InputError(
+            f"{path}: not a placement file: {error}; make one with gradehoist cells place"
+        ) from None
     return placement
 
 
@@ -91,23 +95,23 @@
 
 
 def require_placement(settings: Settings) -> CellPlacement:
-    """The placement that the settings name.
+    """Returns the placement that the settings name.
 
     Raises:
-        InputError: They name none.
+        InputError: The settings name no placement.
     """
     if settings.fleet.placement is None:
-        raise InputError("fleet > cells: missing; name a placement")
+        raise InputError("fleet > cells: missing; name a placement file there")
     return settings.fleet.placement
 
 
 def make_placement(
     tenants_path: Path, replicas_path: Path, requirements: PlacementRequirements, previous_path: Path | None
 ) -> tuple[CellPlacement, tuple[str, ...]]:
-    """Makes a placement that changes as little of a previous one as it can.
+    """Makes a placement that changes a previous one as little as possible.
 
     Returns:
-        The placement, and the requirements that it does not meet, each in words.
+        The placement, and a description of each requirement that it does not meet.
 
     Raises:
         InputError: A file has errors, or no placement is possible.
@@ -133,7 +137,7 @@
 
 
 def _number_cells(stored: CellPlacement) -> Placement:
-    """A stored placement with numbers in place of the cells' names, as the planner takes it."""
+    """Converts a stored placement to the planner's form, which has numbers in place of cell names."""
     numbers = {cell: number for number, cell in enumerate(stored.cells)}
     return Placement(
         {replica: numbers[cell] for replica, cell in stored.cell_by_replica.items()},
@@ -144,15 +148,17 @@
 def split_cell(placement: CellPlacement, replicas_path: Path, cell: str, new_cell: str) -> CellPlacement:
     """Divides the replicas of a cell between it and a new cell, which has no tenants yet.
 
-    Ranges of the hash stay with their cells: else tenants without an entry of their own would change their
-    cell without a migration.
+    Hash ranges stay with their cells. Otherwise tenants without an entry of their own would change their cell
+    without a migration.
 
     Raises:
         InputError: The names don't fit the placement, or the file does not name the cell's replicas.
     """
     if cell not in placement.cells or new_cell in placement.cells:
         known = ", ".join(placement.cells)
-        raise InputError(f"{cell} has to be a cell and {new_cell} a new name; the placement has {known}")
+        raise InputError(
+            f"{cell} has to be an existing cell and {new_cell} a new name; the placement has {known}"
+        )
     members = [
         replica
         for replica in _load_replicas(replicas_path)
@@ -162,7 +168,7 @@
     if len(members) < 2 or len(members) < member_count:
         raise InputError(
             f"{replicas_path}: names {len(members)} of the {member_count} workers of {cell}; a split "
-            "needs all of them, and two at least"
+            "requires all of them, and at least two"
         )
     _, leaving = split_replicas(members)
     return CellPlacement(
--- a/gradehoist/cli/plan.py
+++ b/gradehoist/cli/plan.py
@@ -1,4 +1,4 @@
-"""What `gradehoist plan` does: making, showing and checking capacity plans for events."""
+"""Implements `gradehoist plan`: makes, shows and checks capacity plans for events."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 def load_event(path: Path, name: str) -> DemandEvent:
-    """The event of that name, or the only one of a file if the name is empty.
+    """Loads the event with a name, or the only event of a file if the name is empty.
 
     Raises:
-        InputError: The file has errors, or does not single out an event.
+        InputError: The file has errors, has no event of that name, or has several and the name is empty.
     """
     try:
         events = read_events(path)
@@ -41,10 +41,10 @@
 
 
 def load_plan(path: Path) -> CapacityPlan:
-    """Reads a plan's file.
+    """Reads a plan file.
 
     Raises:
-        InputError: The file can't be read, or holds no plan.
+        InputError: The file can't be read, or is not a plan file.
     """
     try:
         plan: CapacityPlan = msgspec.json.decode(path.read_bytes(), type=CapacityPlan)
@@ -70,7 +70,7 @@
             plan = make_plan(event, include_zone_pairs, show_progress)
         except SolverError as error:
             raise InputError(
-                f"{events_path}: no plan: {error}; make the event smaller, or its groups fewer"
+                f"{events_path}: no plan: {error}; shorten the event, or reduce the number of groups"
             ) from None
     try:
         write_file(plan_path, msgspec.json.format(msgspec.json.encode(plan), indent=1))
@@ -81,7 +81,7 @@
 
 
 def show_plan(plan: CapacityPlan) -> None:
-    """Prints a table of what each zone serves in each slot, and below it each case with a shortfall."""
+    """Prints a table of what each zone serves in each slot, followed by each case with a shortfall."""
     zones = sorted({served.zone for case in plan.cases for served in case.served})
     table = Table(
         title=f"{plan.event}, from {plan.starts_at} ({plan.time_zone}), {plan.slot_s} s a slot",
@@ -101,7 +101,7 @@
 
 
 def _slot_row(slot: int, cases: list[PlannedCase], zones: list[str]) -> list[str]:
-    """The cells of one slot: what is served with all zones there, and the loss that leaves most unserved."""
+    """Returns the columns of one slot: the rates with all zones, and the loss that leaves most unserved."""
     intact = next(case for case in cases if not case.lost_zones)
     crossing = sum(s.rate_units for s in intact.served if s.zone != s.origin) / RATE_UNITS
     worst = max(cases, key=lambda case: (bool(case.lost_zones) and _missing_rate(case), case.lost_zones))
@@ -111,7 +111,7 @@
         *(f"{sum(s.rate_units for s in intact.served if s.zone == zone) / RATE_UNITS:.1f}" for zone in zones),
         f"{crossing:.1f}",
         f"{float(_missing_rate(intact)):.1f}",
-        ", ".join(worst.lost_zones) if hurts else "none hurts",
+        ", ".join(worst.lost_zones) if hurts else "none",
         f"{float(_missing_rate(worst)):.1f}",
     ]
 
@@ -125,13 +125,13 @@
         f"{float(Fraction(s.requests_per_s)):.1f}/s {s.request_class} of {s.origin}" for s in case.shortfalls
     )
     if case.replicas_to_add is None:
-        return shortfalls + "; no number of workers mends it"
+        return shortfalls + "; no number of additional workers is enough"
     additions = ", ".join(f"{a.replica_count} {a.kind} in {a.zone}" for a in case.replicas_to_add)
     return f"{shortfalls}; add {additions}"
 
 
 def check_plan_file(events_path: Path, event_name: str, plan_path: Path) -> list[PlanDefect]:
-    """The reasons why a plan's file may not be used for an event.
+    """Returns the reasons why a plan file may not be used for an event.
 
     Raises:
         InputError: One of the files can't be read or has errors.
--- a/gradehoist/cli/scenario.py
+++ b/gradehoist/cli/scenario.py
@@ -1,4 +1,4 @@
-"""What `gradehoist scenario` and `gradehoist audit` do: running a scenario, and showing its verdict."""
+"""Implements `gradehoist scenario` and `gradehoist audit`: runs a scenario and shows its verdict."""
 
 from __future__ import annotations
 
@@ -38,21 +38,23 @@
     TextColumn("{task.fields[rules]}"),
     TextColumn("{task.fields[text]}"),
 )
-PROGRESS_TEXT_WIDTH = 48  # characters of the last step: the rest of the line is taken by the other columns
-CHECK_INTERVAL_S = 4.0  # between checks of the rules during a run, for the progress bar
+# The number of characters of the last step that are shown. The other columns need the rest of the line.
+PROGRESS_TEXT_WIDTH = 48
+# The interval between checks of the rules during a run, whose results the progress bar shows.
+CHECK_INTERVAL_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunOptions:
-    """What the command line says of a run.
+    """The options of a run.
 
     Attributes:
-        seed: The seed; None for the scenario's own.
-        folder: The folder of records; None for one below `found` that is named by scenario and seed.
-        follow_governors: Whether the proxies poll a governor, else they stay on their default tables.
+        seed: The seed; None for the seed of the scenario.
+        folder: The folder of records; None for a folder in `found`, named after scenario and seed.
+        follow_governors: Whether the proxies poll a governor. Otherwise they keep their default tables.
         even_weights: Whether all replicas have the same weight.
-        speed: How many times faster the scenario's steps are played.
-        quiet: Whether there is no progress bar.
+        speed: The factor by which the scenario's steps are played faster.
+        quiet: Whether to show no progress bar.
     """
 
     seed: int | None
@@ -67,7 +69,7 @@
     """Runs a scenario, checks the rules and writes the report; returns whether all rules held.
 
     Raises:
-        InputError: The file has errors, or the run could not start, write its records or reach its end.
+        InputError: The file has errors, or the run could not start, write its records or finish.
     """
     try:
         scenario = read_scenario(path)
@@ -82,9 +84,11 @@
     except ScenarioRunError as error:
         raise InputError(f"{path}: {error}") from None
     except OSError as error:
-        raise InputError(f"{folder}: {error.strerror or error}; give a folder that can be written") from None
+        raise InputError(f"{folder}: {error.strerror or error}; name a folder that can be written") from None
     if not finished:
-        raise InputError(f"{path}: stopped before its end; every process was ended; records: {folder}")
+        raise InputError(
+            f"{path}: the run was stopped before its end and all its processes were ended; records: {folder}"
+        )
     plan, verdict = check_run_folder(folder)
     page = write_report(folder, plan, verdict)
     show_verdict(plan, verdict)
@@ -93,7 +97,7 @@
 
 
 def _run_with_progress(scenario: Scenario, plan: Plan, folder: Path, quiet: bool) -> bool:
-    """Runs a plan with a progress bar on standard error; False if a signal stopped it."""
+    """Runs a plan with a progress bar on standard error; returns False if a signal stopped it."""
     with Progress(*PROGRESS_COLUMNS, console=Console(stderr=True), disable=quiet) as bar:
         task = bar.add_task("scenario", total=1.0, scenario=plan.name, rules="", text="starting")
 
@@ -118,7 +122,7 @@
 
 
 def _format_initials(verdict: Verdict | None) -> str:
-    """The number of each rule, coloured by whether it has been broken so far."""
+    """Returns the first character of each rule's title, coloured by whether it has been broken so far."""
     if verdict is None:
         return ""
     initials = []
@@ -133,7 +137,7 @@
     console = Console()
     console.print(_build_table(plan, verdict))
     if not verdict.is_complete:
-        console.print(f"[bold red]the records are not whole: {verdict.reason}[/]")
+        console.print(f"[bold red]the records are incomplete: {verdict.reason}[/]")
     shares = ", ".join(
         f"{name} {100 * share:.1f}%" for name, share in verdict.completed_share_by_class.items()
     )
@@ -159,7 +163,7 @@
 
 
 def _describe_result(result: RuleResult) -> str:
-    """The reason of a state, or else the first violation."""
+    """Returns the reason for the state, or else the first violation."""
     if result.reason or not result.violations:
         return result.reason
     violation = result.violations[0]
@@ -170,14 +174,16 @@
     """Checks the rules on the records of a run and prints the verdict; returns whether all rules held.
 
     Raises:
-        InputError: The folder holds no run, or its records can't be read.
+        InputError: The folder contains no run, or its records can't be read.
     """
     try:
         plan, verdict = check_run_folder(folder)
     except FileNotFoundError as error:
-        raise InputError(f"{error.filename}: no run is here; name a folder of `gradehoist day`") from None
+        raise InputError(
+            f"{error.filename}: no run is here; name the folder of a run of `gradehoist scenario`"
+        ) from None
     except (ValueError, OSError) as error:
-        raise InputError(f"{error}; play the day again") from None
+        raise InputError(f"{error}; run the scenario again") from None
     if as_json:
         print(msgspec.json.format(msgspec.json.encode(verdict), indent=1).decode())
     else:
--- a/gradehoist/cli/scenario_commands.py
+++ b/gradehoist/cli/scenario_commands.py
@@ -12,27 +12,31 @@
 
 @click.command()
 @click.argument("path", metavar="SCENARIO", type=FILE)
-@click.option("--seed", type=click.IntRange(0, 2**31), help="Plays another run of the same scenario.")
+@click.option(
+    "--seed",
+    type=click.IntRange(0, 2**31),
+    help="The seed; another one gives another run of the same scenario.",
+)
 @click.option("--out", type=FOLDER, help="The run folder.")
 @click.option(
     "--tables",
     type=click.Choice(["governed", "standing", "even"]),
     default="governed",
     show_default=True,
-    help="Who decides: governors, nobody, or equal weights for all.",
+    help="What sets the weights: governors, the default tables, or equal weights for all replicas.",
 )
 @click.option(
     "--speed",
     type=click.FloatRange(0.1, 10),
     default=1.0,
     show_default=True,
-    help="Plays the script that much faster; goals, grace and every limit stay as they are.",
+    help="The factor by which the steps are played faster; goals, grace and limits are not changed.",
 )
-@click.option("--quiet", is_flag=True, help="No progress bar.")
+@click.option("--quiet", is_flag=True, help="Show no progress bar.")
 def scenario(  # noqa: PLR0913 - click passes each option as a parameter
     path: Path, seed: int | None, out: Path | None, tables: str, speed: float, quiet: bool
 ) -> None:
-    """Plays a scenario on loopback sockets and checks the rules; exit 0 only if they held."""
+    """Runs a scenario on loopback sockets and checks the rules; exits with 0 only if all rules held."""
     from gradehoist.cli.scenario import RunOptions, run_scenario
 
     options = RunOptions(
@@ -49,9 +53,9 @@
 
 @click.command()
 @click.argument("folder", metavar="DIR", type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="The whole verdict for machines.")
+@click.option("--json", "as_json", is_flag=True, help="Print the complete verdict as JSON.")
 def audit(folder: Path, as_json: bool) -> None:
-    """Judges the rules afresh from the records of a run."""
+    """Checks the rules again on the records of a run."""
     from gradehoist.cli.scenario import check_run
 
     passed = check_run(folder, as_json)
