--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements on this machine; `make bench` prints them as tables. Not part of the tests."""
+"""Measurements on the local machine. `make bench` prints them as tables; they are not part of the tests."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench [NAME …]` runs the measurements of that name, or all: see `MEASUREMENTS`."""
+"""`python -m bench [NAME …]` runs the measurements with these names, or all of `MEASUREMENTS`."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 
 from bench import governor, http_parser, placements, plans, scenario_shares
-from bench.node import figures as measure_node
+from bench.node import measure_sizes as measure_node_sizes
 from bench.output import print_row
-from bench.register import figures as measure_coordination
+from bench.register import measure_coordination
 
 
 def print_placements() -> None:
-    """Prints the ways to place tenants side by side."""
+    """Compares methods of placing tenants."""
     print_row(
         "way",
         "s",
@@ -22,12 +22,12 @@
         "their demand",
         "fullest worker over mean",
     )
-    for row in placements.rows(10_000, 500):
+    for row in placements.compare_methods(10_000, 500):
         print_row(*row)
 
 
 def print_plans() -> None:
-    """Prints the time of capacity plans by size, and the solver beside a greedy rule."""
+    """Prints the time that capacity plans take by size, and compares the solver with a greedy rule."""
     print_row("workers", "halls", "cells", "groups", "cases", "s")
     for size in plans.SIZES:
         print_row(*plans.measure_size(size))
@@ -37,21 +37,21 @@
 
 
 def print_node() -> None:
-    """Prints the platform's node as a process: start, tables for all, drains between sockets, memory."""
+    """Measures the platform's node as a process: its start, the delivery of all tables, drains, memory."""
     print_row("proxies", "start, s", "all bound, s", "drain to last order, ms", "worst, ms", "memory, MB")
-    for figures in measure_node():
+    for figures in measure_node_sizes():
         print_row(
             figures.proxies,
-            f"{figures.start:.2f}",
-            f"{figures.bound:.2f}",
-            f"{figures.drain * 1e3:.0f}",
-            f"{figures.worst * 1e3:.0f}",
-            f"{figures.memory:.0f}",
+            f"{figures.start_s:.2f}",
+            f"{figures.bound_s:.2f}",
+            f"{figures.median_drain_s * 1e3:.0f}",
+            f"{figures.worst_drain_s * 1e3:.0f}",
+            f"{figures.memory_mb:.0f}",
         )
 
 
 def print_coordination() -> None:
-    """Prints many members over one coordination store."""
+    """Measures many members that share one coordination store."""
     measure_coordination(print_row)
 
 
--- a/bench/feeders.py
+++ b/bench/feeders.py
@@ -1,4 +1,7 @@
-"""Test doubles of proxies, reduced to their polls, and of the endpoint list; thousands fit in one process."""
+"""Test doubles of the endpoint list and of proxies.
+
+The proxies only poll and report loads, so that thousands of them fit in one process.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,8 @@
 from gradehoist.settings.fleet import CellPlacement
 
 LOCAL = "127.0.0.1"
-REPORT_LINES_PER_S = 100  # lines of load reports that the settings let in
+# The lines of load reports per second that the settings admit.
+REPORT_LINES_PER_S = 100
 ZONES = ("hall-a", "hall-b", "hall-c")
 DECODER: msgspec.json.Decoder[feed.PollResponse] = msgspec.json.Decoder(feed.PollResponse)
 SETTINGS = """
@@ -41,15 +45,19 @@
 
 
 def create_endpoint(n: int, phase: str = "ready") -> feed.EndpointRecord:
-    """The endpoint of the replica with a number."""
+    """Returns the endpoint of the replica with a number."""
     return feed.EndpointRecord(f"w{n}", ZONES[n % 3], "", "k", n // 5, phase, 1.0, f"w{n}/1", 10**9)
 
 
 class EndpointList:
-    """The endpoint list of a fleet; `notified_at` is when it published its change (s, monotonic)."""
+    """The endpoint list of a fleet.
+
+    Attributes:
+        notified_at: When it sent its change (s, monotonic); 0 before.
+    """
 
     def __init__(self, replicas: int, port: int) -> None:
-        """Listens with all replicas ready."""
+        """Starts to listen, with all replicas listed as ready."""
         self.version = 1
         self.notified_at = 0.0
         self.endpoints = [create_endpoint(n) for n in range(replicas)]
@@ -58,7 +66,7 @@
         self.server.listen(port, LOCAL)
 
     async def handle(self, request: http.Request, connection: Connection) -> ServerResponse:
-        """Answers with a snapshot, or with the change as soon as there is one."""
+        """Answers with a snapshot, or waits for a change and answers with it."""
         is_snapshot = "after=-1" in request.target
         if not is_snapshot and f"after={self.version}&" in request.target:
             try:
@@ -83,18 +91,18 @@
 
 
 class FeedClient:
-    """One proxy's feed.
+    """The feed of one proxy.
 
     Attributes:
         withdrawn_at: When it received the withdrawal of the first replica (s, monotonic); 0 before.
         binds: The number of binds that it received.
-        classes: The request classes that it is bound to.
+        classes: The request classes that it has bound.
         received_bytes: The size of all responses.
         messages: The number of messages that it received.
     """
 
     def __init__(self, n: int, port: int) -> None:
-        """Prepares the feed of the proxy with a number from a governor's port."""
+        """Creates the feed of the proxy with a number, from the governor at a port."""
         self.n = n
         self.port = port
         self.name = f"r{n}"
@@ -145,16 +153,16 @@
     async def send_load_reports(
         self, replicas: int, period_s: float, cells: int = 0, load_swing: float = 0.0
     ) -> None:
-        """Reports attempts at some thirty replicas in each period, until it is cancelled.
+        """Reports attempts at up to thirty replicas in each period, until it is cancelled.
 
-        Their load varies a little; with `load_swing` that of each replica also rises and falls by so much
-        within a minute, at a time of its own.
+        Their load varies slightly. With `load_swing`, the load of each replica also oscillates with this
+        amplitude and a period of about a minute; each replica has its own phase.
         """
         client = HttpClient(LOCAL, self.port)
         await asyncio.sleep(period_s * (self.n % 97) / 97)
-        beat = 0
+        report_number = 0
         while True:
-            beat += 1
+            report_number += 1
             attempts = tuple(
                 feed.ReplicaAttempts(
                     f"w{(self.n * 7 + k * 5) % replicas}",
@@ -162,13 +170,13 @@
                     0,
                     250_000,
                     0.5
-                    + 0.2 * ((k * 31 + beat * 17 + self.n) % 10) / 10
+                    + 0.2 * ((k * 31 + report_number * 17 + self.n) % 10) / 10
                     + load_swing * math.sin((self.n * 7 + k * 5) % replicas + time.monotonic() / 9),
                     2.0,
                 )
                 for k in range(30)
             )
-            cell = f"c{(self.n + beat) % cells}/" if cells else ""
+            cell = f"c{(self.n + report_number) % cells}/" if cells else ""
             requests = (
                 feed.ClassRequests(cell + "rate-check", 6),
                 feed.ClassRequests(cell + "booking-commit", 3),
@@ -181,7 +189,7 @@
 
 @dataclass(frozen=True)
 class GovernorOptions:
-    """What a measured governor serves, and the limits of its channel.
+    """The fleet that a measured governor serves, and the limits of its channel.
 
     Attributes:
         proxies: The number of proxies.
@@ -189,7 +197,7 @@
         lines_per_s: The line rate of the channel.
         queue_lines: The limit of the channel's queue.
         poll_hold: How long a poll is held open, as the settings write it.
-        module: The program, as `python -m` takes it.
+        module: The module that is run with `python -m`.
         cells: The number of cells; 0 for a fleet without cells.
     """
 
@@ -203,20 +211,20 @@
 
 
 class Governor:
-    """A governor's process, with its endpoint list in this one. The caller closes it."""
+    """A governor process, whose endpoint list runs in this process. The caller closes it."""
 
     def __init__(self, folder: Path, options: GovernorOptions) -> None:
-        """Writes the settings to a folder and starts the process."""
+        """Writes the settings to a folder and starts the governor."""
         folder.mkdir(parents=True, exist_ok=True)
         self.port, endpoint_list_port = find_free_ports(2)
         self.endpoint_list = EndpointList(options.replicas, endpoint_list_port)
         path = folder / "settings.kdl"
         if options.cells:
             names = tuple(f"c{n}" for n in range(options.cells))
-            placed = CellPlacement(
+            placement = CellPlacement(
                 names, {f"w{n}": names[n // 3 % options.cells] for n in range(options.replicas)}
             )
-            (folder / "cells.json").write_bytes(msgspec.json.encode(placed))
+            (folder / "cells.json").write_bytes(msgspec.json.encode(placement))
         path.write_text(
             SETTINGS.format(
                 relays=options.proxies,
@@ -237,10 +245,10 @@
         self.client = HttpClient(LOCAL, self.port)
 
     async def wait_until_ready(self) -> None:
-        """Waits until the governor knows the replicas.
+        """Waits until the governor has loaded the endpoint list.
 
         Raises:
-            RuntimeError: It did not come up within some ten seconds.
+            RuntimeError: It was not ready within some ten seconds.
         """
         for _ in range(200):
             try:
@@ -249,29 +257,29 @@
             except (ConnectError, ConnectionLostError, ResponseTimeoutError):
                 pass
             await asyncio.sleep(0.05)
-        raise RuntimeError("the governor did not come up")
+        raise RuntimeError("the governor was not ready within 200 checks at intervals of 50 ms")
 
     async def status(self) -> dict[str, object]:
-        """The governor's HTTP status."""
+        """Requests the status of the governor."""
         response = await self.client.request("GET", "/v1/status", timeout_s=10)
-        out: dict[str, object] = msgspec.json.decode(response.body)
-        return out
+        status: dict[str, object] = msgspec.json.decode(response.body)
+        return status
 
     def process_usage(self) -> tuple[float, int]:
-        """CPU seconds and resident bytes of the loop's process, without the policy process."""
+        """Returns the CPU seconds and resident bytes of the event loop's process, not the policy's."""
         process = psutil.Process(self.process.pid)
         times = process.cpu_times()
         return times.user + times.system, process.memory_info().rss
 
     def policy_usage(self) -> tuple[float, int]:
-        """CPU seconds and resident bytes of the policy process; zeros where there is none."""
+        """Returns the CPU seconds and resident bytes of the policy process; zeros if there is none."""
         for child in psutil.Process(self.process.pid).children():
             times = child.cpu_times()
             return times.user + times.system, child.memory_info().rss
         return 0.0, 0
 
     def close(self) -> None:
-        """Ends the process and the endpoint list."""
+        """Stops the governor and the endpoint list."""
         self.process.terminate()
         self.process.wait(20)
         self.endpoint_list.server.stop()
--- a/bench/governor.py
+++ b/bench/governor.py
@@ -1,4 +1,4 @@
-"""One governor's process with many proxies: drains, cost at size, cells, idle polls."""
+"""Measurements of one governor with many proxies: drains, cost by size, cells, idle polls."""
 
 from __future__ import annotations
 
@@ -17,14 +17,20 @@
 from bench.output import print_row
 from gradehoist.net.client import HttpClient
 
-BIND_COUNT = 2  # of a proxy that has its tables: one for each class of the settings
+# The number of binds after which a proxy has all tables: one for each class of the settings.
+BIND_COUNT = 2
 BIND_TIMEOUT_S = 180.0
 CELLS_BIND_TIMEOUT_S = 240.0
-SETTLE_S = 5.0  # between the last bind and a measurement
-WINDOW_S = 20.0  # over which CPU time and traffic are measured
-QUANTILES = (50, 99, 100)  # percent
-UNLIMITED = 1e6  # lines, or lines per second: over anything that is measured
-SIZES = ((286, 118, 3500), (1000, 500, 12000))  # proxies, replicas, lines per second
+# The time between the last bind and a measurement.
+SETTLE_S = 5.0
+# The time over which CPU time and traffic are measured.
+WINDOW_S = 20.0
+# The percentiles that are printed.
+QUANTILES = (50, 99, 100)
+# A limit, in lines or lines per second, that no measurement reaches.
+UNLIMITED = 1e6
+# Proxies, replicas and lines per second.
+SIZES = ((286, 118, 3500), (1000, 500, 12000))
 SIZE_HEADINGS = (
     "relays",
     "replicas",
@@ -41,15 +47,22 @@
 
 @dataclass
 class Fleet:
-    """A governor with its proxies' feeds; `start_fleet` owns the tasks and ends all of it."""
+    """A governor with the feeds of its proxies; `start_fleet` owns the tasks and stops everything.
+
+    Attributes:
+        governor: The governor process.
+        bytes_before_joins: The resident bytes of the event loop's process before any proxy joined.
+        clients: The feeds of the proxies.
+        tasks: The tasks of the feeds and load reports.
+    """
 
     governor: Governor
-    bytes_before_joins: int  # resident in the governor's loop process
+    bytes_before_joins: int
     clients: list[FeedClient] = field(default_factory=list)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def report_loads(self, replicas: int, cells: int = 0, load_swing: float = 0.0) -> None:
-        """Lets each proxy send a load report in each second."""
+        """Starts to send a load report of each proxy once per second."""
         for client in self.clients:
             reports = client.send_load_reports(replicas, 1.0, cells, load_swing)
             self.tasks.append(asyncio.ensure_future(reports))
@@ -58,7 +71,7 @@
         """Waits until all proxies are bound.
 
         Raises:
-            RuntimeError: Some are not bound in time.
+            RuntimeError: Some are not bound within the timeout.
         """
         end = time.monotonic() + timeout_s
         while not all(is_bound(client) for client in self.clients):
@@ -68,7 +81,10 @@
             await asyncio.sleep(0.1)
 
     async def drain_replica(self, timeout_s: float, poll_s: float) -> list[float]:
-        """Drains a replica; returns the seconds until each proxy that received it had its withdrawal."""
+        """Drains a replica; returns the seconds after which each proxy received the withdrawal.
+
+        Proxies that do not receive it within the timeout are left out.
+        """
         self.governor.endpoint_list.drain()
         end = time.monotonic() + timeout_s
         while not all(client.withdrawn_at for client in self.clients) and time.monotonic() < end:
@@ -79,7 +95,10 @@
 
 @asynccontextmanager
 async def start_fleet(options: GovernorOptions, joins_per_pause: int = 0) -> AsyncIterator[Fleet]:
-    """Starts a governor and its proxies, some at a time if `joins_per_pause` says so; ends all of it."""
+    """Starts a governor and its proxies, and stops them at the end.
+
+    With `joins_per_pause`, there is a pause whenever so many proxies have joined.
+    """
     with tempfile.TemporaryDirectory() as folder:
         governor = Governor(Path(folder), options)
         tasks: list[asyncio.Task[None]] = []
@@ -106,7 +125,7 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """CPU seconds and resident bytes of the governor's two processes at one time."""
+    """The CPU seconds and resident bytes of the governor's two processes at one moment."""
 
     at_s: float
     loop_cpu_s: float
@@ -116,25 +135,26 @@
 
     @classmethod
     def measure(cls, governor: Governor) -> Usage:
-        """Reads both processes."""
+        """Measures both processes."""
         loop_cpu_s, loop_bytes = governor.process_usage()
         policy_cpu_s, policy_bytes = governor.policy_usage()
         return cls(time.monotonic(), loop_cpu_s, loop_bytes, policy_cpu_s, policy_bytes)
 
     def format_cpu_since(self, earlier: Usage) -> tuple[str, str]:
-        """The CPU shares of loop and policy process since an earlier time."""
+        """Returns the CPU shares of the loop and policy processes since an earlier measurement."""
         span = self.at_s - earlier.at_s
         loop = (self.loop_cpu_s - earlier.loop_cpu_s) / span
         policy = (self.policy_cpu_s - earlier.policy_cpu_s) / span
         return f"{100 * loop:.0f}%", f"{100 * policy:.0f}%"
 
     def format_memory(self) -> tuple[str, str]:
-        """The megabytes of loop and policy process."""
+        """Returns the memory of the loop and policy processes in megabytes."""
         return f"{self.loop_bytes / 1e6:.0f}", f"{self.policy_bytes / 1e6:.0f}"
 
 
 async def _measure_drain(proxies: int, replicas: int, lines_per_s: float) -> None:
-    # An installation's queue holds what can't be deferred twice: a withdrawal costs each proxy six lines.
+    # As in an installation, the queue holds twice what can't be deferred. A withdrawal costs six lines per
+    # proxy.
     queue_lines = max(lines_per_s, 12 * proxies)
     async with start_fleet(GovernorOptions(proxies, replicas, lines_per_s, queue_lines)) as fleet:
         await fleet.wait_until(is_bound, BIND_TIMEOUT_S)
@@ -145,7 +165,7 @@
 
 
 def measure_drains() -> None:
-    """Prints how long the withdrawal of a draining replica takes to reach the proxies."""
+    """Prints the time until the withdrawal of a draining replica reaches the proxies."""
     print_row("relays", "replicas", "lines a second", "p50 ms", "p99 ms", "worst ms", "never told")
     for size in ((15, 12, 3500), (300, 118, 3500), (1000, 118, 3500), (1000, 118, 12000)):
         asyncio.run(_measure_drain(*size))
@@ -166,7 +186,7 @@
 
 
 async def _measure_status(governor: Governor) -> list[float]:
-    """The milliseconds of each status response within the window."""
+    """Returns the response time of each status request within the window, in milliseconds."""
     client = HttpClient("127.0.0.1", governor.port)
     delays_ms: list[float] = []
     end = time.monotonic() + WINDOW_S
@@ -179,14 +199,14 @@
 
 
 def measure_sizes() -> None:
-    """Prints the governor's cost and response times at two sizes."""
+    """Prints the governor's cost and response times at two sizes of fleet."""
     print_row(*SIZE_HEADINGS)
     for size in SIZES:
         asyncio.run(_measure_size(*size))
 
 
 def compare_with_inline_policy() -> None:
-    """Prints the same with the policies in the event loop's process, twice in turns."""
+    """Compares the cost with that of running the policies in the event loop's process, twice in turns."""
     print_row(*SIZE_HEADINGS)
     for size in SIZES:
         for module in ("bench.inline", "gradehoist", "bench.inline", "gradehoist"):
@@ -224,7 +244,7 @@
 
 @dataclass(frozen=True)
 class Traffic:
-    """What the governor sent over a window, its loop's worst lag, and its cost before and after."""
+    """What the governor sent within a window, its loop's greatest lag, and its usage before and after."""
 
     messages_per_s: float
     lines_per_s: float
@@ -257,7 +277,7 @@
 
 
 def measure_cells() -> None:
-    """Prints one cell beside many with the same proxies and replicas; one replica of one cell is drained."""
+    """Compares one cell with many for the same proxies and replicas; one replica of one cell is drained."""
     print_row(
         "relays",
         "replicas",
@@ -298,6 +318,6 @@
 
 
 def measure_idle_polls() -> None:
-    """Prints the memory of an idle poll, and how long a change takes to reach 5000 of them."""
+    """Prints the memory per idle poll, and the time until a change reaches 5000 of them."""
     print_row("idle polls", "kB a connection", "change to half, s", "change to all, s", "never told")
     asyncio.run(_measure_idle_polls(5000))
--- a/bench/http_parser.py
+++ b/bench/http_parser.py
@@ -1,4 +1,4 @@
-"""The program's HTTP parser beside h11, on the same bytes in turns."""
+"""Compares the project's HTTP parser with h11, on the same bytes in turns."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 )
 DATA = REQUEST * 50
 REPEATS = 20
-REQUEST_COUNT = 1000  # in one round: 50 times 20
+# The number of requests in one round: 50 in DATA, 20 times.
+REQUEST_COUNT = 1000
 ROUNDS = 7
 
 
 def read_only() -> int:
-    """Reads all requests with the program's parser."""
+    """Parses all requests with the project's parser."""
     parser = Parser(http.Role.SERVER)
     return sum(len(parser.receive(DATA)) for _ in range(REPEATS))
 
 
 def read_and_respond() -> int:
-    """Reads all requests with the program's parser, and formats a response to each."""
+    """Parses all requests with the project's parser and formats a response to each."""
     parser = Parser(http.Role.SERVER)
     count = 0
     for _ in range(REPEATS):
@@ -39,7 +40,7 @@
 
 
 def read_and_respond_with_h11() -> int:
-    """The same with h11, which can't go on without a response."""
+    """Parses and answers all requests with h11, which requires a response before the next request."""
     connection = h11.Connection(h11.SERVER)
     count = 0
     for _ in range(REPEATS):
@@ -62,7 +63,7 @@
 
 
 def measure_parsers() -> None:
-    """Prints the requests per second of each, by the median of the rounds."""
+    """Prints the requests per second of each parser, from the median duration of the rounds."""
     ways = (read_and_respond, read_and_respond_with_h11, read_only)
     durations: dict[str, list[float]] = {way.__name__: [] for way in ways}
     for _ in range(ROUNDS):
--- a/bench/inline.py
+++ b/bench/inline.py
@@ -1,4 +1,4 @@
-"""The governor with its policies in the loop's own process, to measure what the policy process is worth."""
+"""The governor with its policies in the event loop's process, to measure the benefit of a policy process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     """Takes the place of `PolicyProcess` and runs the policies in the governor's event loop."""
 
     def __init__(self, configs: Any, now_us: int, runs_timers: bool, drain_grace_us: int) -> None:
-        """Starts the policies; the grace is the policy process's and has no use here."""
+        """Starts the policies; the drain grace matters only to a policy process and is ignored."""
         self.host = policy_host.PolicyHost(configs, now_us, runs_timers)
         self.cpu_s = 0.0
         self.pid = 0
--- a/bench/member.py
+++ b/bench/member.py
@@ -1,6 +1,8 @@
-"""One member of a measured fleet: `python -m bench.member WHERE PORT NAME`; WHERE is a folder or a port.
+"""One member of a measured fleet: `python -m bench.member WHERE PORT NAME`.
 
-Its status has the delays of changes of one record; `POST /probe` lets it write that record."""
+WHERE is the folder of an embedded store, or the port of a store's server. `POST /probe` makes the member
+write a record with the current time; the status lists the delays with which it observed such writes.
+"""
 
 from __future__ import annotations
 
@@ -41,11 +43,11 @@
         address=f"127.0.0.1:{port}",
     )
     member = Membership(settings, identity, seed=1, log=lambda *a, **k: None)
-    late = list[float]()
+    delays_ms = list[float]()
 
-    def changed(key: str) -> None:
+    def record_delay(key: str) -> None:
         if key == KEY and (sent := member.participant.decode_record(KEY, int)):
-            late.append((time.monotonic_ns() - sent) / 1e6)
+            delays_ms.append((time.monotonic_ns() - sent) / 1e6)
 
     async def handle(request: http.Request, connection: Connection) -> ServerResponse:
         path, _, query = request.target.partition("?")
@@ -55,11 +57,11 @@
             member.propose(member.participant.build_put(KEY, time.monotonic_ns()))
             return ServerResponse(204)
         if path == "/status":
-            found: dict[str, Any] = member.status() | {"late": late, "cpu": time.process_time()}
-            return json_response(found)
-        return error_response(404, "nothing here")
+            status: dict[str, Any] = member.status() | {"late": delays_ms, "cpu": time.process_time()}
+            return json_response(status)
+        return error_response(404, "not found")
 
-    member.key_listeners.append(changed)
+    member.key_listeners.append(record_delay)
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     server = HttpServer(handle)
--- a/bench/node.py
+++ b/bench/node.py
@@ -1,4 +1,7 @@
-"""The platform's node on loopback: start, memory, and the time from a drain listed to the last order read."""
+"""Measures the platform's node on loopback: its start, its memory, and the delay of drains.
+
+The delay of a drain is the time from its listing until the last proxy has read the order.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +18,33 @@
 from gradehoist.testbed.platform import NodeProcess, ProxyStream, build_member
 
 ROUNDS = 9
+# Proxies and replicas.
 SIZES = ((60, 30), (150, 30), (400, 30))
 
 
 @dataclass(frozen=True)
-class Figures:
-    """What one play measured."""
+class NodeFigures:
+    """The results of one run.
+
+    Attributes:
+        proxies: The number of proxies.
+        start_s: The time that the node took to start.
+        bound_s: The time from the first join until the last proxy had its tables.
+        median_drain_s: The median delay of a drain.
+        worst_drain_s: The greatest delay of a drain.
+        memory_mb: The resident memory of the node.
+    """
 
     proxies: int
-    start: float  # s
-    bound: float  # s from the first joining to the last table
-    drain: float  # s, median: from the list's line written to the last proxy's order read
-    worst: float
-    memory: float  # MB resident
+    start_s: float
+    bound_s: float
+    median_drain_s: float
+    worst_drain_s: float
+    memory_mb: float
 
 
-def settings(proxies: int) -> dict[str, Any]:
-    """A queue with room for all tables at once, so that the node alone takes time."""
+def create_settings(proxies: int) -> dict[str, Any]:
+    """Returns settings whose queue has room for all tables at once, so that only the node causes delays."""
     classes = [{"name": c, "aim": 1.0, "deadline": 2.0, "idempotency": "free"} for c in ("read", "write")]
     channel = {"pending-max": 1e6, "push-rate": 1e6, "fixed-cost": 4.0, "pushes-allowed": 0}
     specifics = {"period": 1.0, "proxies": proxies, "blackhole": 4.0, "admission": "share"}
@@ -44,30 +57,30 @@
     }
 
 
-async def play(proxies: int, replicas: int) -> Figures:
-    """Starts a node, joins proxies, and drains replicas one after the other."""
+async def measure(proxies: int, replicas: int) -> NodeFigures:
+    """Starts a node, lets proxies join, and drains replicas one after another."""
     members = [build_member(f"s-{n}", locality="abc"[n % 3]) for n in range(replicas)]
     with tempfile.TemporaryDirectory() as folder:
-        node = NodeProcess(Path(folder), settings(proxies), members, sockets=1_024)
+        node = NodeProcess(Path(folder), create_settings(proxies), members, sockets=1_024)
         try:
-            start = await node.start()
-            began = time.monotonic()
+            start_s = await node.start()
+            started = time.monotonic()
             peers = [await ProxyStream(node, n, "abc"[n % 3]).connect() for n in range(proxies)]
             await asyncio.gather(*(peer.read_until("whole=1") for peer in peers))
-            bound, took = time.monotonic() - began, []
+            bound_s, delays_s = time.monotonic() - started, []
             for n in range(ROUNDS):
                 await asyncio.sleep(0.5)
-                began = time.monotonic()
+                started = time.monotonic()
                 node.discoveries[0].update_member(build_member(f"s-{n}", "leaving", locality="abc"[n % 3]))
                 await asyncio.gather(*(peer.read_until(f"out=s-{n}") for peer in peers))
-                took.append(time.monotonic() - began)
+                delays_s.append(time.monotonic() - started)
             assert node.child is not None
-            memory = psutil.Process(node.child.pid).memory_info().rss / 2**20
-            return Figures(proxies, start, bound, median(took), max(took), memory)
+            memory_mb = psutil.Process(node.child.pid).memory_info().rss / 2**20
+            return NodeFigures(proxies, start_s, bound_s, median(delays_s), max(delays_s), memory_mb)
         finally:
             node.kill()
 
 
-def figures() -> list[Figures]:
-    """The figures of each size."""
-    return [asyncio.run(play(*size)) for size in SIZES]
+def measure_sizes() -> list[NodeFigures]:
+    """Returns the results for each size."""
+    return [asyncio.run(measure(*size)) for size in SIZES]
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -1,4 +1,4 @@
-"""Capacity planning: time by size, and the solver beside a greedy rule on the same fleets."""
+"""Measurements of capacity planning: time by size, and the solver compared with a greedy rule."""
 
 from __future__ import annotations
 
@@ -23,8 +23,11 @@
 
 CLASS_COUNT = 4
 KIND_COUNT = 4
-MEAN_REPLICA_RATE = 15  # requests per second: near the mean of what a replica below completes of one class
-HOURS = 24  # time slots of a measured plan
+# Requests per second: close to the mean rate at which a replica of `create_problem` completes one class.
+MEAN_REPLICA_RATE = 15
+# The number of time slots of a measured plan.
+HOURS = 24
+# The number of random fleets on which the solver and the greedy rule are compared.
 COMPARED_FLEETS = 60
 
 
@@ -51,7 +54,10 @@
 
 
 def create_problem(size: FleetSize, slots: int, seed: int = 1) -> CapacityProblem:
-    """A random fleet: four kinds, four classes of which one may not use the last zone, uneven demand."""
+    """Creates a random fleet with uneven demand, four kinds and four classes.
+
+    One class may not use the last zone, unless there are only two.
+    """
     rng = random.Random(seed)
     zones = tuple(f"z{n}" for n in range(size.zones))
     names = [f"c{n}" for n in range(CLASS_COUNT)]
@@ -90,7 +96,7 @@
 
 
 def plan_greedily(problem: CapacityProblem, slot: int, lost_zones: frozenset[str]) -> dict[Flow, Fraction]:
-    """The greedy rule: highest priority weight first, in its zone while it has capacity, then elsewhere."""
+    """Plans greedily: highest priority weight first, in its zone while it has capacity, then elsewhere."""
     capacity = {g: problem.capacity(g) for g in problem.replica_counts if g.zone not in lost_zones}
     demand = {key: rates[slot] for key, rates in problem.demand.items()}
 
@@ -110,7 +116,7 @@
 
 
 def measure_size(size: FleetSize) -> tuple[object, ...]:
-    """Makes a plan for a day of 24 slots; returns the row of its size and time."""
+    """Makes a plan with 24 slots; returns the row with its size and duration."""
     problem = create_problem(size, HOURS)
     started = time.perf_counter()
     plan = make_plan(DemandEvent("e", datetime(2027, 2, 5, tzinfo=ZoneInfo("Asia/Tokyo")), 3600, problem))
@@ -119,11 +125,11 @@
 
 
 def compare_with_greedy(load: float) -> tuple[object, ...]:
-    """Compares the solver with the greedy rule over 60 fleets of 40 replicas, with each loss of a zone.
+    """Compares the solver with the greedy rule on 60 fleets of 40 replicas, with each loss of one zone.
 
     Returns:
-        The load, the shares of weighted demand that each leaves unserved, and the ratio of crossing costs
-        where both serve all.
+        The load, the shares of weighted demand that the solver and the greedy rule leave unserved, and the
+        ratio of their crossing costs where both serve all demand.
     """
     lost_by_solver = lost_by_greedy = demanded = Fraction(0)
     solver_crossing = greedy_crossing = Fraction(0)
--- a/bench/scenario_shares.py
+++ b/bench/scenario_shares.py
@@ -1,4 +1,4 @@
-"""The share of requests completed in time on the bad day, by who decides the weights."""
+"""The share of requests completed in time in the bad-day scenario, by what sets the weights."""
 
 from __future__ import annotations
 
@@ -19,35 +19,36 @@
 
 SCENARIO = Path("scenarios/bad-day.kdl")
 SEEDS = (1, 2, 3)
-WAYS = {"governed": (True, False), "standing": (False, False), "even": (False, True)}
+# The arguments of `build_plan` (follow_governors, even_weights) of each mode.
+MODES = {"governed": (True, False), "standing": (False, False), "even": (False, True)}
 
 
-def _run_folder(seed: int, way: str) -> Path:
-    return Path("found") / f"bench-{seed}-{way}"
+def _run_folder(seed: int, mode: str) -> Path:
+    return Path("found") / f"bench-{seed}-{mode}"
 
 
-async def _run_all_ways(scenario: Scenario, seed: int) -> None:
+async def _run_all_modes(scenario: Scenario, seed: int) -> None:
     runs = [
-        ScenarioRun(scenario, build_plan(scenario, seed, *flags), _run_folder(seed, way))
-        for way, flags in WAYS.items()
+        ScenarioRun(scenario, build_plan(scenario, seed, *flags), _run_folder(seed, mode))
+        for mode, flags in MODES.items()
     ]
     await asyncio.gather(*(run.play() for run in runs))
 
 
 def measure_shares() -> None:
-    """Runs the scenario with governors, default tables and equal weights at once, for each seed."""
+    """For each seed, runs the scenario with governors, default tables and equal weights at the same time."""
     print_row("seed", "governed", "standing tables", "equal weights", "rules, governed")
     scenario = read_scenario(SCENARIO)
     for seed in SEEDS:
-        asyncio.run(_run_all_ways(scenario, seed))
-        verdicts = [check_run_folder(_run_folder(seed, way))[1] for way in WAYS]
+        asyncio.run(_run_all_modes(scenario, seed))
+        verdicts = [check_run_folder(_run_folder(seed, mode))[1] for mode in MODES]
         rules = " ".join(result.state for result in verdicts[0].results)
         print_row(seed, *(f"{100 * verdict.completed_share:.1f}%" for verdict in verdicts), rules)
         print_message_sizes(_run_folder(seed, "governed"))
 
 
 def print_message_sizes(folder: Path) -> None:
-    """Prints the bytes of a run's messages, and of complete snapshots in their place."""
+    """Prints the size of a run's messages, and the size that complete snapshots in their place would have."""
     states: dict[str, ProxyState] = {}
     delta_bytes = snapshot_bytes = 0
     for record in load_records(folder):
@@ -64,7 +65,7 @@
 
 
 def _snapshot_size(state: ProxyState) -> int:
-    """The bytes of a message with all that a proxy holds."""
+    """Returns the size of a message with the complete state of a proxy."""
     classes_by_table: dict[TableKey, list[str]] = {}
     for class_name, key in state.table_by_class.items():
         classes_by_table.setdefault(key, []).append(class_name)
