--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
-# One .venv for everything, made anew when the requirements change.
+# All targets use one virtual environment, which is updated when the requirements change.
 PY := .venv/bin/python
 STAMP := .venv/requirements.stamp
 
 .PHONY: scenario day test bench scenarios scenes
 
-# `day` is the earlier name of the target.
+# `day` is an earlier name of this target.
 scenario day: $(STAMP)
 	$(PY) -m gradehoist scenario scenarios/bad-day.kdl
 
@@ -22,7 +22,8 @@
 	$(PY) -m pip -q install -r requirements-dev.txt
 	touch $(STAMP)
 
-# Every recorded kind of fault through the real governor, three scenarios at a time; about three minutes.
+# Runs every recorded kind of fault against the real governor, three scenarios at a time. This takes about three
+# minutes. `scenes` is an earlier name of this target.
 scenarios scenes: $(STAMP)
 	ls scenarios/faults/*.kdl | xargs -P 3 -I{} sh -c '$(PY) -m gradehoist scenario {} --quiet > /dev/null \
 	    && echo "kept   {}" || { echo "BROKEN {}"; exit 1; }'
