--- a/bench/http_parser.py
+++ b/bench/http_parser.py
@@ -64,14 +64,16 @@
 
 def measure_parsers() -> None:
     """Prints the requests per second of each parser, from the median duration of the rounds."""
-    ways = (read_and_respond, read_and_respond_with_h11, read_only)
-    durations: dict[str, list[float]] = {way.__name__: [] for way in ways}
+    functions = (read_and_respond, read_and_respond_with_h11, read_only)
+    durations: dict[str, list[float]] = {function.__name__: [] for function in functions}
     for _ in range(ROUNDS):
-        for way in ways:
+        for function in functions:
             started = time.perf_counter()
-            assert way() == REQUEST_COUNT
-            durations[way.__name__].append(time.perf_counter() - started)
-    ours, theirs, reading = (REQUEST_COUNT / statistics.median(durations[way.__name__]) for way in ways)
+            assert function() == REQUEST_COUNT
+            durations[function.__name__].append(time.perf_counter() - started)
+    ours, theirs, reading = (
+        REQUEST_COUNT / statistics.median(durations[function.__name__]) for function in functions
+    )
     print_row("parser", "requests a second")
     print_row("ours, read and answered", round(ours))
     print_row("h11, read and answered", round(theirs))
--- a/gradehoist/capacity_planning/event_file.py
+++ b/gradehoist/capacity_planning/event_file.py
@@ -84,7 +84,7 @@
     except (ValueError, ZeroDivisionError):
         rates = ()
     if not rates or len(rates) < len(texts):
-        raise ValueError('expected rates from 0 up, one or one for each slot, such as "12 30.5 18"')
+        raise ValueError('expected rates of at least 0: one, or one for each slot, such as "12 30.5 18"')
     return rates
 
 
--- a/gradehoist/cli/cells_commands.py
+++ b/gradehoist/cli/cells_commands.py
@@ -101,7 +101,7 @@
         statuses, silent_governors = cell_status.fetch_cell_statuses(settings)
         cell_status.show_cells(require_placement(settings), store, statuses)
     for name in silent_governors:
-        click.echo(f"governor {name} did not answer; its part is missing above", err=True)
+        click.echo(f"governor {name} did not answer; the table lacks its data", err=True)
     sys.exit(1 if silent_governors else 0)
 
 
@@ -171,8 +171,8 @@
     click.echo(
         f"{out}: {new_cell} has {len(new_replicas)} workers, "
         f"{cell} keeps {len(placement.replicas_of(cell))}; next: "
-        f"governors with this file, one at a time; {', '.join(sorted(new_replicas))} anew; "
-        f"gradehoist cells move SETTINGS --half-of {cell} --to {new_cell}"
+        f"restart the governors with this file, one at a time; restart {', '.join(sorted(new_replicas))}; "
+        f"run gradehoist cells move SETTINGS --half-of {cell} --to {new_cell}"
     )
 
 
--- a/gradehoist/cli/migrations.py
+++ b/gradehoist/cli/migrations.py
@@ -79,7 +79,9 @@
     except ValueError as error:
         raise InputError(str(error)) from None
     if cell in (placement.cell_by_range or placement.cells):
-        print(f"{cell} still gets tenants that nobody named, by their hash; name them in the placement")
+        print(
+            f"{cell} still receives, by their hash, tenants that the placement does not name; name them there"
+        )
     return all_done
 
 
--- a/tests/test_capacity_planning.py
+++ b/tests/test_capacity_planning.py
@@ -398,9 +398,9 @@
         return str(caught.value)
 
     assert "e.kdl:20: event" in read_errors('rates="20 30 40 20"', 'rates="20 30"')
-    assert "expected rates from 0 up" in read_errors("rates=6", 'rates="6 x"')
+    assert "expected rates of at least 0" in read_errors("rates=6", 'rates="6 x"')
     # Computing the exact value of this number did not end in any reasonable time.
-    assert "expected rates from 0 up" in read_errors("rates=6", 'rates="1e99999999"')
+    assert "expected rates of at least 0" in read_errors("rates=6", 'rates="1e99999999"')
     assert "Asia/Tokyo" in read_errors('zone="Asia/Tokyo"', 'zone="Sapporo"')
     assert "local time without offset" in read_errors("T09:00", "T09:00+09:00")
     # The clock change of that night skips this time.
