--- a/gradehoist/governor/cell_publisher.py
+++ b/gradehoist/governor/cell_publisher.py
@@ -41,11 +41,11 @@
         super().__init__(tables, channel, policies, log)
         self.delivery_queue = DeliveryQueue(tables, policies, budget)
         self.unintroduced: dict[int, float] = {}
-        self._served: set[int] = set()  # proxies that have been sent a message in this slot
+        self._sent_this_slot: set[int] = set()  # proxies that have been sent a message in this slot
         self._affected: dict[int, None] = {}  # proxies that the current reply affects
 
     def add_proxy(self, stream: ProxyStream, request_rate: float) -> None:
-        """Adds a proxy that has joined; the policies are told of it in one of the next slots."""
+        """Adds a proxy that has joined; the policies are notified of it in one of the next slots."""
         self.streams[stream.proxy] = stream
         self.channel.add_proxy(stream.proxy)
         self.tables.add_proxy(stream.proxy)
@@ -116,7 +116,7 @@
 
     def _begin_slot(self, now_us: int, replica_count: int) -> None:
         self.reply_count += 1
-        self._served.clear()
+        self._sent_this_slot.clear()
         if reason := self._send_withdrawals(now_us):
             proxies = len(self.delivery_queue.urgent_proxies())
             self._log.warning("message_rejected", proxies=proxies, reason=reason)
@@ -126,10 +126,10 @@
     def _introduce_proxies(self, replica_count: int) -> None:
         """Introduces proxies that have joined to the policies, those with the most traffic first.
 
-        A proxy that joins is sent a table of each cell. The policies are told of no more proxies at a time
-        than the channel can bind: when a thousand joined at once, every policy planned for all of them at
-        each step, which took ten seconds. Until it is introduced, a proxy is sent withdrawals and keeps the
-        tables that it has.
+        A proxy that joins is sent a table of each cell. The policies are notified of no more proxies at a
+        time than the channel can bind: when a thousand joined at once, every policy planned for all of them
+        at each step, which took ten seconds. Until it is introduced, a proxy is sent withdrawals and keeps
+        the tables that it has.
         """
         backlogs = self.delivery_queue.backlogs
         class_count = len(self.tables.identifiers.classes)
@@ -166,7 +166,7 @@
         return rejection
 
     def _may_send(self, now_us: int, proxy: int) -> bool:
-        if proxy in self._served or self.streams[proxy].resync_reason:
+        if proxy in self._sent_this_slot or self.streams[proxy].resync_reason:
             return False
         return self.delivery_queue.budget.allows_message(self.channel.count_messages(now_us, proxy))
 
@@ -180,7 +180,7 @@
             # A message larger than the available capacity is sent once the channel is empty.
             return False
         self._send(now_us, proxy, delivery)
-        self._served.add(proxy)
+        self._sent_this_slot.add(proxy)
         return True
 
     def _available_lines(self) -> float:
--- a/gradehoist/governor/channel.py
+++ b/gradehoist/governor/channel.py
@@ -45,7 +45,7 @@
 
 
 class Channel:
-    """The queue of one governor. All times are whole microseconds of one monotonic clock.
+    """The queue of one governor. All times are integer microseconds of one monotonic clock.
 
     Attributes:
         waiting_lines: lines in the queue.
@@ -71,7 +71,7 @@
         self.measured_lines_per_s = lines_per_s
         self._queue = deque[QueuedMessage]()
         self._put_times_us: dict[int, deque[int]] = {}
-        self._idle_from_us = 0  # when the last queued message has been transmitted
+        self._last_release_us = 0  # when the last queued message has been transmitted
         self._now_us = 0
         self._busy: _BusyPeriod | None = None
 
@@ -89,11 +89,11 @@
         if len(kept) == len(self._queue):
             return
         head = self._queue[0]
-        self._idle_from_us = self._now_us if head.proxy == proxy else head.release_us - head.transmit_us
+        self._last_release_us = self._now_us if head.proxy == proxy else head.release_us - head.transmit_us
         self._queue = deque[QueuedMessage]()
         for item in kept:
-            self._idle_from_us = max(self._idle_from_us, item.queued_us) + item.transmit_us
-            self._queue.append(replace(item, release_us=self._idle_from_us))
+            self._last_release_us = max(self._last_release_us, item.queued_us) + item.transmit_us
+            self._queue.append(replace(item, release_us=self._last_release_us))
         self.waiting_lines = sum(item.message.cost_lines for item in kept)
 
     def count_messages(self, now_us: int, proxy: int) -> int:
@@ -120,7 +120,7 @@
         self._busy = self._busy or _BusyPeriod(since_us=now_us, lines=0.0)
         transmit_us = round(message.cost_lines / self.lines_per_s * 1_000_000)
         self._now_us = now_us
-        self._idle_from_us = max(self._idle_from_us, now_us) + transmit_us
+        self._last_release_us = max(self._last_release_us, now_us) + transmit_us
         self._queue.append(
             QueuedMessage(
                 proxy=proxy,
@@ -128,7 +128,7 @@
                 message=message,
                 queued_us=now_us,
                 transmit_us=transmit_us,
-                release_us=self._idle_from_us,
+                release_us=self._last_release_us,
             )
         )
         self._put_times_us[proxy].append(now_us)
--- a/gradehoist/governor/endpoint_list.py
+++ b/gradehoist/governor/endpoint_list.py
@@ -16,8 +16,9 @@
 from gradehoist.interface import Endpoint, EndpointListKind, EndpointsListed, Phase
 from gradehoist.protocol.feed import EndpointListUpdate, EndpointRecord
 
-# Start times kept for replicas that are not listed: a replica that returns must not appear to have restarted.
-SPARE_STARTS = 1_000
+# Start times of unlisted replicas are kept until there are this many more than twice the listed replicas,
+# because a replica that is listed again must not appear to have restarted.
+EXTRA_START_TIMES = 1_000
 PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
 
 
@@ -162,7 +163,7 @@
                 self.endpoints.pop(record.replica, None)
 
     def _drop_old_starts(self) -> None:
-        if len(self._starts) <= 2 * len(self.endpoints) + SPARE_STARTS:
+        if len(self._starts) <= 2 * len(self.endpoints) + EXTRA_START_TIMES:
             return
         self._starts = {
             replica: start for replica, start in self._starts.items() if replica in self.endpoints
--- a/gradehoist/governor/endpoint_watch.py
+++ b/gradehoist/governor/endpoint_watch.py
@@ -28,7 +28,7 @@
     """The task that keeps the core's endpoint list up to date. The service owns it."""
 
     def __init__(self, shell: ShellState, cache: EndpointCache, zones: ZoneCoordination | None) -> None:
-        """Creates the task's state; `cache` is told of every change and `zones` of every confirmation."""
+        """Creates the task's state; `cache` is notified of changes, and `zones` of confirmations."""
         self._core = shell.core
         self._settings = shell.settings
         self._signals = shell.signals
--- a/gradehoist/governor/health_checker.py
+++ b/gradehoist/governor/health_checker.py
@@ -28,7 +28,7 @@
         self._tasks = shell.tasks
         self._log = shell.log
         self._zones = zones
-        self._limit = asyncio.Semaphore(shell.core.fleet.max_health_checks)
+        self._semaphore = asyncio.Semaphore(shell.core.fleet.max_health_checks)
 
     def start(self, replicas: Iterable[int]) -> None:
         """Starts a background check of each replica."""
@@ -56,7 +56,7 @@
         timeout_s = self._core.fleet.health_check_timeout_us / 1e6
         try:
             client = self._clients.get(address)
-            result = await check_health(client, PATH, timeout_s, self._limit)
+            result = await check_health(client, PATH, timeout_s, self._semaphore)
             return result.outcome, _read_load(result.response)
         except ValueError as error:  # the address or the load report is malformed
             self._log.warning("health_check_aborted", replica=name, reason=str(error))
--- a/gradehoist/governor/health_checks.py
+++ b/gradehoist/governor/health_checks.py
@@ -20,11 +20,11 @@
 
 
 async def check_health(
-    client: HttpClient, target: str, timeout_s: float, limit: asyncio.Semaphore
+    client: HttpClient, target: str, timeout_s: float, semaphore: asyncio.Semaphore
 ) -> HealthCheckResult:
     """Requests `target` within `timeout_s`, which includes the wait for the semaphore `limit`."""
     try:
-        async with asyncio.timeout(timeout_s), limit:
+        async with asyncio.timeout(timeout_s), semaphore:
             response = await client.request("GET", target, timeout_s=timeout_s)
     except (TimeoutError, ResponseTimeoutError):
         return HealthCheckResult(HealthCheckOutcome.TIMED_OUT, None)
--- a/gradehoist/governor/policy_process.py
+++ b/gradehoist/governor/policy_process.py
@@ -139,7 +139,7 @@
             await asyncio.sleep(self._check_interval_s)
             if self._requested_at_s is None:
                 continue
-            progress = _ChildProgress(self._request_count, self._child_state())
+            progress = _ChildProgress(self._request_count, self._process_state())
             idle_checks = idle_checks + 1 if progress == before else 0
             before = progress
             waited_s = time.monotonic() - self._requested_at_s
@@ -153,7 +153,7 @@
                 self._stream.close()
                 return
 
-    def _child_state(self) -> str:
+    def _process_state(self) -> str:
         """Returns a value that changes while the child is working or waiting for a CPU.
 
         If the system does not report the process state, the value always changes, so that only the timeout
--- a/gradehoist/governor/proxy_sessions.py
+++ b/gradehoist/governor/proxy_sessions.py
@@ -88,8 +88,8 @@
             unknown = self._state.load_reports.add(stream.proxy, stream.zone, report)
         except InvalidLoadReportError as error:
             raise RequestRejectedError(422, str(error)) from None
-        if unknown and not stream.reported_unknown_replica:
-            stream.reported_unknown_replica = True
+        if unknown and not stream.has_logged_unknown_replica:
+            stream.has_logged_unknown_replica = True
             self._state.log.warning(
                 "load_report_trimmed",
                 proxy=stream.proxy_name,
--- a/gradehoist/governor/proxy_streams.py
+++ b/gradehoist/governor/proxy_streams.py
@@ -55,9 +55,9 @@
         resync_reason: why a full resync is pending; empty while none is pending.
         resync_seq: number of the last full resync, which replaces all earlier messages.
         last_poll_us: time of the last poll.
-        is_slow: whether a late acknowledgement has been logged.
+        is_acknowledgement_late: whether a late acknowledgement has been logged.
         is_oversized: whether the proxy's tables are larger than the channel's queue.
-        reported_unknown_replica: whether a report on an unlisted replica has been logged.
+        has_logged_unknown_replica: whether a report on an unlisted replica has been logged.
     """
 
     proxy: int
@@ -74,11 +74,11 @@
     resync_reason: str = ""
     resync_seq: int = 0
     last_poll_us: int = 0
-    is_slow: bool = False
+    is_acknowledgement_late: bool = False
     is_oversized: bool = False
-    reported_unknown_replica: bool = False
+    has_logged_unknown_replica: bool = False
 
-    MAX_UNACKNOWLEDGED_LINES = 4_000.0  # a few tables of a large fleet; a resync is shorter than more lines
+    MAX_UNACKNOWLEDGED_LINES = 4_000.0  # a few tables of a large fleet; beyond this, a resync is shorter
 
     def allocate_seq(self) -> int:
         """Returns the number for the next message."""
--- a/gradehoist/governor/shell_state.py
+++ b/gradehoist/governor/shell_state.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShellState:
-    """The state that the service owns and passes to its components.
+    """The state that the service owns and passes to its components, the I/O shell around the core.
 
     Attributes:
         core: the state machine of the governor.
--- a/gradehoist/governor/stream_monitor.py
+++ b/gradehoist/governor/stream_monitor.py
@@ -30,12 +30,12 @@
         if now_us < self._checked_us + CHECK_INTERVAL_US:
             return
         self._checked_us = now_us
-        self._remove_silent(now_us)
+        self._remove_unresponsive(now_us)
         self._publisher.maintain_backlog()
         self._log_channel_rate()
         self._log_slow_proxies(now_us)
 
-    def _remove_silent(self, now_us: int) -> None:
+    def _remove_unresponsive(self, now_us: int) -> None:
         """Removes proxies that do not poll, and proxies that poll without acknowledging anything.
 
         Messages that a proxy never acknowledges would count as in flight forever, and would block the weights
@@ -74,10 +74,10 @@
         for stream in self._publisher.streams.values():
             overdue_us = stream.overdue_us(now_us)
             is_slow = overdue_us > self._fleet.safety.drain_grace_us
-            if is_slow and not stream.is_slow:
+            if is_slow and not stream.is_acknowledgement_late:
                 self._log.warning(
                     "acknowledgement_delayed",
                     proxy=stream.proxy_name,
                     reason=f"it has not acknowledged an order from {overdue_us / 1e6:.1f} s ago",
                 )
-            stream.is_slow = is_slow
+            stream.is_acknowledgement_late = is_slow
--- a/gradehoist/governor/tenant_assignments.py
+++ b/gradehoist/governor/tenant_assignments.py
@@ -30,7 +30,7 @@
         self._signals = shell.signals
         self._log = shell.log
         self._path = shell.settings.state_folder / FILE_NAME
-        self._writing = asyncio.Lock()
+        self._write_lock = asyncio.Lock()
 
     def load(self) -> None:
         """Loads the persisted assignments, if there are any.
@@ -49,7 +49,7 @@
         Raises:
             RequestRejectedError: the assignment can't be persisted; the sender has to repeat it.
         """
-        async with self._writing:
+        async with self._write_lock:
             directory, acknowledgement = self.directory.apply_assignment(assignment)
             if directory is not self.directory:
                 await self._persist(directory, assignment)
--- a/gradehoist/governor/zone_coordination.py
+++ b/gradehoist/governor/zone_coordination.py
@@ -34,8 +34,7 @@
 Version = TypeVar("Version")
 
 ELECTION = "zones"
-# An endpoint list counts as lost if it is not confirmed for this long; the list service holds requests for 5
-# s.
+# An endpoint list counts as lost if it is not confirmed for this long; requests for it are held for 5 s.
 LIST_TIMEOUT_US = 15_000_000
 TICK_INTERVAL_US = 500_000  # short enough, as a step of an evacuation takes seconds to have an effect
 REPORT_INTERVAL_US = 3_000_000  # maximum time between two reports
@@ -43,7 +42,7 @@
 PLANNING_PERIODS = 2  # load report periods within which a policy plans once for each group of proxies
 
 
-class _Write(Enum):
+class _RecordKind(Enum):
     """The kinds of records that this governor writes, each with at most one write in progress."""
 
     REPORT = "report"
@@ -51,7 +50,7 @@
     ALLOCATION = "allocation"
 
 
-class _Rollout(Generic[Version]):
+class _VersionTracker(Generic[Version]):
     """Tracks when a version of the plan or the allocation is applied in the tables of all proxies.
 
     Attributes:
@@ -104,11 +103,11 @@
         self._list_confirmed_us = now_us
         self._quotas = ZoneQuotas({}, 1.0, {})
         self._warming_up: tuple[str, ...] = ()
-        self._plan = _Rollout(NO_PLAN)
-        self._allocation = _Rollout(-1)
+        self._plan = _VersionTracker(NO_PLAN)
+        self._allocation = _VersionTracker(-1)
         self._reported = (self._plan.applied, self._allocation.applied)
         self._reported_us = -REPORT_INTERVAL_US
-        self._pending_writes = dict[_Write, str]()  # the token of the proposal, by kind of record
+        self._pending_writes = dict[_RecordKind, str]()  # the token of the proposal, by kind of record
         membership.key_listeners.append(self._handle_change)
         membership.proposal_listeners.append(self._handle_outcome)
         membership.tick_listeners.append(self.tick)
@@ -153,7 +152,7 @@
         else:
             self._coordinator.on_store_lost(now_us)
         self._apply_quotas(now_us)
-        self._advance_rollouts(now_us)
+        self._advance_trackers(now_us)
         if not is_joined:
             return
         self._write_report(now_us)
@@ -217,7 +216,7 @@
         )
         self._events_pending.set()
 
-    def _advance_rollouts(self, now_us: int) -> None:
+    def _advance_trackers(self, now_us: int) -> None:
         plan = self._coordinator.plan
         ordered_us = now_us + self._planning_us
         self._plan.begin(plan.version, ordered_us)
@@ -229,7 +228,7 @@
         """Writes the health report if the applied versions have changed or the last report is outdated."""
         applied = (self._plan.applied, self._allocation.applied)
         is_recent = now_us - self._reported_us < REPORT_INTERVAL_US
-        if _Write.REPORT in self._pending_writes or (applied == self._reported and is_recent):
+        if _RecordKind.REPORT in self._pending_writes or (applied == self._reported and is_recent):
             return
         self._reported = applied
         self._reported_us = now_us
@@ -238,7 +237,7 @@
         change = participant.build_put(
             REPORTS_PREFIX + participant.identity.name, report, owned_by_session=True
         )
-        self._propose(_Write.REPORT, change)
+        self._propose(_RecordKind.REPORT, change)
 
     def _make_report(self, now_us: int) -> HealthReport:
         stats = self.stats.snapshot(now_us, self._core.endpoint_list)
@@ -257,18 +256,18 @@
     def _write_decisions(self, now_us: int, token: FencingToken) -> None:
         """Writes the next plan and the next allocation if they are due; only the leader calls it."""
         participant = self._membership.participant
-        if _Write.PLAN not in self._pending_writes:
+        if _RecordKind.PLAN not in self._pending_writes:
             plan = self._coordinator.next_plan(now_us, token)
             if plan is not None:
-                self._propose(_Write.PLAN, participant.build_put(PLAN_KEY, plan))
-        if _Write.ALLOCATION not in self._pending_writes:
+                self._propose(_RecordKind.PLAN, participant.build_put(PLAN_KEY, plan))
+        if _RecordKind.ALLOCATION not in self._pending_writes:
             allocation = self._coordinator.next_allocation(now_us, token)
             if allocation is not None:
-                self._propose(_Write.ALLOCATION, participant.build_put(ALLOCATION_KEY, allocation))
+                self._propose(_RecordKind.ALLOCATION, participant.build_put(ALLOCATION_KEY, allocation))
 
-    def _propose(self, write: _Write, change: Change) -> None:
+    def _propose(self, kind: _RecordKind, change: Change) -> None:
         if token := self._membership.propose(change):
-            self._pending_writes[write] = token
+            self._pending_writes[kind] = token
 
 
 def _make_coordinator(
--- a/gradehoist/governor/zone_stats.py
+++ b/gradehoist/governor/zone_stats.py
@@ -15,7 +15,7 @@
 from gradehoist.zones.health import ZoneObservation
 
 WINDOW_US = 1_000_000
-# With six windows a failing zone is visible within seconds, and a few slow reports do not dominate the
+# A failing zone is visible within seconds with this number, and a few slow reports do not dominate the
 # counts.
 WINDOW_COUNT = 6
 
--- a/tests/support/governed_fleet.py
+++ b/tests/support/governed_fleet.py
@@ -184,7 +184,7 @@
                 elif proxy.is_polling and (
                     stream := self.core.streams.get(self.core.identifiers.proxies[proxy.name])
                 ):
-                    stream.last_poll_us = self.now_us  # stands for the next poll, which would come in time
+                    stream.last_poll_us = self.now_us  # in place of the next poll, which would arrive in time
             is_slot = not self.core.slot_us or self.now_us % self.core.slot_us < 5_000
             is_urgent, self.core.has_urgent_change = self.core.has_urgent_change and not is_slot, False
             if is_slot or is_urgent:
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -274,10 +274,10 @@
     endpoint_list = EndpointList(Identifiers(["x", "y"], ["k"], ["c"]), 5 * SECOND_US)
     saved = endpoint_list.load_cached(50 * SECOND_US, (make_endpoint(1, age_us=SECOND_US),))
     assert endpoint_list.is_stale and saved.endpoints[0].started_us == 0
-    told = endpoint_list.apply(
+    update = endpoint_list.apply(
         51 * SECOND_US, feed.EndpointListUpdate("l", 7, (make_endpoint(1, age_us=2 * SECOND_US),), True)
     )
-    assert told and told.endpoints[0].started_us == 49 * SECOND_US and not endpoint_list.is_stale
+    assert update and update.endpoints[0].started_us == 49 * SECOND_US and not endpoint_list.is_stale
 
 
 def test_a_flapping_endpoint_list_breaks_no_limit_and_all_replicas_return() -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -60,18 +60,23 @@
 
     def __init__(self) -> None:
         (self.port,) = find_free_ports(1)
-        self.version, self.entries, self.status, self.calls = 1, [make_endpoint(n) for n in range(4)], 200, 0
+        self.version, self.records, self.status, self.request_count = (
+            1,
+            [make_endpoint(n) for n in range(4)],
+            200,
+            0,
+        )
         self.server = HttpServer(self.handle)
         self.server.listen(self.port, LOOPBACK)
 
     async def handle(self, request: http.Request, connection: Connection) -> ServerResponse:
-        self.calls += 1
+        self.request_count += 1
         if "after=-1" not in request.target:
             await asyncio.sleep(0.1)
         if self.status != 200:
             return ServerResponse(self.status)
         return ServerResponse(
-            200, msgspec.json.encode(feed.EndpointListUpdate("l", self.version, tuple(self.entries), True))
+            200, msgspec.json.encode(feed.EndpointListUpdate("l", self.version, tuple(self.records), True))
         )
 
 
