--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -58,7 +58,7 @@
     fleet.update_endpoints(make_endpoint(3, "gone"))
     fleet.run(2)
     streams = {r.name: r.stream for r in fleet.proxies}
-    fleet.start_governor("two")  # the proxies keep their tables until they are bound repeated
+    fleet.start_governor("two")  # the proxies keep their tables until they are bound again
     assert all(r.state.weights_for("write") for r in fleet.proxies)
     fleet.connect()
     fleet.run(3)
