--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,14 +16,19 @@
 )
 from gradehoist.node.endpoint_list import EndpointList
 from gradehoist.testbed.platform import build_member
-from tests.support.node_shell import CHUNKED, chunk, line
+from tests.support.node_harness import CHUNKED_RESPONSE_HEAD, encode_chunk, update_line
 
 
 def chunked(*pieces: bytes) -> bytes:
-    return CHUNKED + b"".join(chunk(piece) for piece in pieces if piece)
+    return CHUNKED_RESPONSE_HEAD + b"".join(encode_chunk(piece) for piece in pieces if piece)
 
 
-BODY = line(2, build_member("s-1"), complete=True) + b"\n" + line(3, build_member("s-1", "leaving")) + b"\r\n"
+BODY = (
+    update_line(2, build_member("s-1"), complete=True)
+    + b"\n"
+    + update_line(3, build_member("s-1", "leaving"))
+    + b"\r\n"
+)
 
 
 @given(st.lists(st.integers(0, len(BODY)), max_size=8), st.lists(st.integers(0, 2_000), max_size=8))
@@ -43,7 +48,7 @@
     b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n",
     b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}", b"junk\r\n\r\n",
     chunked(b"{]\n"), chunked(b'{"revision":1.5,"members":[]}\n'), chunked(b"[]\n"),
-    chunked(line(1)) + b"0\r\n\r\n",
+    chunked(update_line(1)) + b"0\r\n\r\n",
 ])  # fmt: skip
 def test_a_response_that_is_no_watch_ends_it(data: bytes) -> None:
     with pytest.raises(WatchLostError):
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -14,7 +14,7 @@
 import pytest
 
 from gradehoist.testbed.platform import TIMEOUT_S, NodeProcess, ProxyStream, build_member
-from tests.support.node_shell import MEMBERS, until
+from tests.support.node_harness import MEMBERS, wait_until
 from tests.support.platform_proxies import SETTINGS
 
 
@@ -40,11 +40,11 @@
             node.path.write_text("{")  # half written: the previous one stays in effect
             assert node.child is not None
             node.child.send_signal(signal.SIGHUP)
-            await until(lambda: "the previous configuration stays" in node.log.read_text())
+            await wait_until(lambda: "the previous configuration stays" in node.log.read_text())
             node.configure(1)
             for _ in range(3):
                 node.child.send_signal(signal.SIGHUP)
-            await until(lambda: second.watches)
+            await wait_until(lambda: second.watches)
             assert second.requested_paths[0] == f"/registry/instances?watch=1&from={first.revision}"
             for writer in list(first.watches):
                 writer.close()
@@ -54,10 +54,10 @@
             node.configure(0)
             asked = len(first.requested_paths)
             node.child.send_signal(signal.SIGHUP)
-            await until(lambda: first.watches)
+            await wait_until(lambda: first.watches)
             for writer in list(first.watches + second.watches):
                 writer.close()
-            await until(lambda: len(first.requested_paths) > asked + 1)
+            await wait_until(lambda: len(first.requested_paths) > asked + 1)
             await asyncio.sleep(0.5)  # a second watcher would come back within 0.1 s
             assert len(first.watches) == 1
             assert not second.watches
@@ -74,8 +74,8 @@
             first.is_silent = True
             for writer in list(first.watches):
                 writer.close()
-            await until(lambda: "closed; retry" in node.log.read_text())
-            await until(lambda: "silent; retry" in node.log.read_text())
+            await wait_until(lambda: "closed; retry" in node.log.read_text())
+            await wait_until(lambda: "silent; retry" in node.log.read_text())
             first.update_member(build_member("s-0", "leaving"))  # the node is not notified yet
             first.is_silent = False
             await proxy.read_until("out=s-0")
