--- a/gradehoist/policy/replica.py
+++ b/gradehoist/policy/replica.py
@@ -1,4 +1,4 @@
-"""One replica: smoothed load, weight control, slow start, and the course of its ejections."""
+"""Control of one replica: smoothed load, weight, slow start, ejection and readmission."""
 
 from dataclasses import replace
 
@@ -10,31 +10,57 @@
 from gradehoist.numeric import clamp, max_by_key, relative_to_mean
 from gradehoist.policy.outlier import ejection_time_us, is_failing
 
-MIN_WEIGHT, MAX_WEIGHT = 0.05, 4.0  # the design's bounds on a normalized weight
-DEAD_BAND = 0.05  # the design's dead band, softened by the readings' scatter: weights walked with the noise
-SMOOTHING = 1 / 3  # weight of the newest of about five reports: 2 / (5 + 1)
-KEPT = 0.5  # of attempts, each period or second
-GAIN_P, GAIN_I = 0.06, 0.005  # per second: lags of up to 8 s allow a loop gain of half a turn at most
-WARM_RAMP = 4  # divisor of the warm-up time after an ejection: warm as a rule, a replica ramps up sooner
-MAX_STEP = 0.25  # the design's cap on a step, as a part of the weight
-INITIAL_SCATTER, SCATTER_SMOOTHING = 0.5, 0.1  # slow, so that a true change does not pass for scatter
-MAX_WINDOW = 60 * SECOND  # a longer window covers a pause of ours: one of an hour froze the loop for minutes
-MIN_RELATIVE_SIZE = 0.01  # of the mean size: a replica listed without one is not infinitely small
-MIN_SUCCESS_SHARE = 0.1  # a replica's load counts for ten times as much at most, however many attempts fail
+# The bounds that the design sets for a normalized weight.
+MIN_WEIGHT, MAX_WEIGHT = 0.05, 4.0
 
+# The design's dead band: smaller errors of the load do not change the weight. Larger errors are damped by the
+# deviation of the load readings, as weights followed the noise otherwise.
+DEAD_BAND = 0.05
 
-class Replica(ReplicaActor):
-    """The control loop of one replica; the pool gets each change of its state."""
+# Weight of the newest report in an exponential moving average over about five reports, which is 2 / (5 + 1).
+SMOOTHING = 1 / 3
 
-    SLOW_START = 0.1  # the design's start for new replicas: a tenth of average
+# Share of the attempt totals that is kept each report period, or each second if periods are shorter.
+ATTEMPT_DECAY = 0.5
+
+# Gains per second. The control loop has delays of up to 8 s, and the gain times the delay may be a half at
+# most: 0.06 / s * 8 s is 0.48.
+GAIN_P, GAIN_I = 0.06, 0.005
+
+# After a readmission, the slow start takes the warm-up time divided by this, as an ejected replica is usually
+# warm and can ramp up sooner.
+READMISSION_RAMP_DIVISOR = 4
+
+# The design's limit of a step of the control loop, relative to the weight.
+MAX_STEP = 0.25
+
+# The deviation of load readings is smoothed slowly, so that a real change of the load is not taken for noise.
+INITIAL_DEVIATION, DEVIATION_SMOOTHING = 0.5, 0.1
+
+# A longer window of a load report stems from a pause of the governor itself, and counts as this long. A
+# window of one hour stopped the control loop for minutes.
+MAX_WINDOW_US = 60 * SECOND
+
+# Lowest size relative to the mean size. It keeps the load of a replica that is listed without a size finite.
+MIN_RELATIVE_SIZE = 0.01
+
+# Lowest success share that a replica's load is divided by: failed attempts raise the load tenfold at most.
+MIN_SUCCESS_SHARE = 0.1
+
+
+class ReplicaController(ReplicaActor):
+    """Controls one replica, and sends each change of its state to the pool."""
+
+    # The design's share of the weight at which slow start begins: a new replica gets a tenth of the average.
+    SLOW_START = 0.1
 
     def _restart(self) -> None:
         super()._restart()
-        self.load = SmoothedLoad(SMOOTHING, SCATTER_SMOOTHING, INITIAL_SCATTER)
+        self.load = SmoothedLoad(SMOOTHING, DEVIATION_SMOOTHING, INITIAL_DEVIATION)
         self.controller = PIController(GAIN_P, GAIN_I)
 
     def _on_attempts_reported(self, report: AttemptsReported) -> None:
-        self.add_report(report, min(report.window_us, MAX_WINDOW), SMOOTHING)
+        self.add_report(report, min(report.window_us, MAX_WINDOW_US), SMOOTHING)
         if not self.state.is_ejected and is_failing(self.state.totals):
             self.loop.publish(messages.ReplicaFailing(report.replica, self.state.totals.failure_share))
 
@@ -43,19 +69,21 @@
             self.load.update(self.new_load)
             self.report_load(self.load)
         self.publish_state()
-        totals = self.state.totals.scaled(KEPT ** min(1.0, self.state.period_us / SECOND))
+        totals = self.state.totals.scaled(ATTEMPT_DECAY ** min(1.0, self.state.period_us / SECOND))
         self.state = replace(self.state, totals=totals)
 
     def _on_adjust_weight(self, step: messages.AdjustWeight) -> None:
         weight = self.state.weight
-        if self.state.slow_start >= 1.0 and not step.is_stale:  # below that slow start rules
+        # During slow start, the control loop does not change the weight.
+        if self.state.slow_start >= 1.0 and not step.is_stale:
             error = step.error
-            error *= 0.0 if abs(error) < DEAD_BAND else error**2 / (error**2 + self.load.scatter**2)
+            error *= 0.0 if abs(error) < DEAD_BAND else error**2 / (error**2 + self.load.deviation**2)
             weight += self.controller.step(error, self.state.period_us, MAX_STEP * weight)
         scaled = weight * step.scale
         weight = clamp(scaled, MIN_WEIGHT, MAX_WEIGHT)
         if weight != scaled:
-            self.controller.reset()  # no winding up at the bounds either
+            # Prevents integral wind-up at the bounds of the weight.
+            self.controller.reset()
         self.state = replace(self.state, weight=weight)
         self.publish_state()
 
@@ -82,20 +110,31 @@
 
     def _on_readmit(self, _: messages.Readmit) -> None:
         if self.state.is_ejected:
-            totals = messages.AttemptTotals(elapsed_us=self.state.totals.elapsed_us)
+            totals = messages.AttemptTotals(latency_sum_us=self.state.totals.latency_sum_us)
             self.state = replace(self.state, is_ejected=False, totals=totals)
-            ramp_us = max(2 * self.state.period_us, self.config.safety.warmup_us // WARM_RAMP)
-            self.start_ramp(self.loop.now_us, ramp_us)  # flapping replicas start low each return
+            ramp_us = max(2 * self.state.period_us, self.config.safety.warmup_us // READMISSION_RAMP_DIVISOR)
+            # A replica that is ejected again and again starts at a low weight after each readmission.
+            self.start_ramp(self.loop.now_us, ramp_us)
             self.publish_state()
 
 
 def relative_utilization(states: dict[int, messages.ReplicaState]) -> dict[int, float]:
-    """Return the larger of each replica's busy share and requests in flight, as a multiple of the mean."""
-    busy = {n: s.busy_share for n, s in states.items() if s.busy_share is not None}
-    sizes = relative_to_mean({n: s.endpoint.size for n, s in states.items()})
-    queued = {n: s.in_flight for n, s in states.items() if s.in_flight is not None}
-    # One more, as chance counts of an idle pool are no load; the root, as size may be cores or speed.
-    in_flight = {n: 1 + count / max(sizes[n], MIN_RELATIVE_SIZE) ** 0.5 for n, count in queued.items()}
+    """Return the utilization of each replica that has load readings, relative to that of the others.
+
+    It is the larger of the busy share and the requests in flight, each as a multiple of the mean, divided by
+    the success share: replicas that fail attempts, or report less load than they have, look idle otherwise.
+    """
+    busy = {replica: state.busy_share for replica, state in states.items() if state.busy_share is not None}
+    sizes = relative_to_mean({replica: state.endpoint.size for replica, state in states.items()})
+    queued = {replica: state.in_flight for replica, state in states.items() if state.in_flight is not None}
+    # One request is added to each count, as the few requests that an idle pool happens to have in flight are
+    # no load. Counts are divided by the square root of the size, as a size may mean cores or speed.
+    in_flight = {
+        replica: 1 + count / max(sizes[replica], MIN_RELATIVE_SIZE) ** 0.5
+        for replica, count in queued.items()
+    }
     used = max_by_key(relative_to_mean(busy), relative_to_mean(in_flight))
-    # Replicas that fail attempts, or report too little, look idle: load counts by what succeeds.
-    return {n: load / max(MIN_SUCCESS_SHARE, states[n].totals.success_share) for n, load in used.items()}
+    return {
+        replica: load / max(MIN_SUCCESS_SHARE, states[replica].totals.success_share)
+        for replica, load in used.items()
+    }
--- a/tests/test_known_limits.py
+++ b/tests/test_known_limits.py
@@ -1,4 +1,4 @@
-"""What the hardening review found and did not mend: strictly expected to fail, so that a mend shows."""
+"""Known faults from the hardening review, as strict expected failures: a fix makes its test fail."""
 
 from __future__ import annotations
 
@@ -18,46 +18,56 @@
 from gradehoist.governor.service import GovernorService
 from gradehoist.scenario.free_ports import find_free_ports
 from gradehoist.settings.fleet_parser import read_settings
-from tests.support.governed_fleet import World, entry
-from tests.support.governor_process import GRACE, ROOT, Relay, Roster, play, settings, until
-
-
-@pytest.mark.xfail(strict=True, reason="F18: only the module orders withdrawals, and it is at work")
-def test_a_planner_that_works_for_longer_than_the_grace_holds_up_no_drain(
+from tests.support.governed_fleet import GovernedFleet, make_endpoint
+from tests.support.governor_process import (
+    DRAIN_GRACE_S,
+    REPOSITORY,
+    FakeEndpointList,
+    FakeProxy,
+    run_async,
+    wait_until,
+    write_settings,
+)
+
+
+@pytest.mark.xfail(strict=True, reason="F18: only the policy orders withdrawals, and it is busy")
+def test_a_policy_that_computes_for_longer_than_the_grace_period_delays_no_drain(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    usual, slow = PolicyProcess.handle, [False]
+    original_handle, is_slow = PolicyProcess.handle, [False]
 
-    async def handle(self: PolicyProcess, *given: Any) -> Any:
-        if slow.pop():
-            await asyncio.sleep(2 * GRACE)
-        slow.append(False)
-        return await usual(self, *given)
+    async def handle(self: PolicyProcess, *arguments: Any) -> Any:
+        if is_slow.pop():
+            await asyncio.sleep(2 * DRAIN_GRACE_S)
+        is_slow.append(False)
+        return await original_handle(self, *arguments)
 
     async def work() -> None:
         monkeypatch.setattr(PolicyProcess, "handle", handle)
-        roster, (port,) = Roster(), find_free_ports(1)
-        found = read_settings(settings(tmp_path, roster.port, port))
-        service = GovernorService(found.fleet, found.governors[0])
+        endpoint_list, (port,) = FakeEndpointList(), find_free_ports(1)
+        settings = read_settings(write_settings(tmp_path, endpoint_list.port, port))
+        service = GovernorService(settings.fleet, settings.governors[0])
         running = asyncio.ensure_future(service.run())
-        relay = Relay(port, "r0")
+        proxy = FakeProxy(port, "r0")
         try:
-            assert await until(lambda: relay.holdings.is_bound, 10)
-            slow[:] = [True]
+            assert await wait_until(lambda: proxy.state.is_bound, 10)
+            is_slow[:] = [True]
             await asyncio.sleep(0.2)
-            roster.list(entry(1, "draining"))
-            assert await until(lambda: not relay.sends_to("w1"), GRACE)
+            endpoint_list.publish(make_endpoint(1, "draining"))
+            assert await wait_until(lambda: not proxy.sends_to("w1"), DRAIN_GRACE_S)
         finally:
-            relay.task.cancel()
+            proxy.task.cancel()
             service.stop()
             await running
-            roster.server.abort()
+            endpoint_list.server.abort()
 
-    play(work)
+    run_async(work)
 
 
-@pytest.mark.xfail(strict=True, reason="F21: keys have no age, and the protocol states none yet")
-def test_keys_of_done_writes_do_not_pile_up() -> None:
+@pytest.mark.xfail(
+    strict=True, reason="F21: idempotency keys have no age, and the protocol does not define one yet"
+)
+def test_idempotency_keys_of_completed_writes_do_not_accumulate() -> None:
     fence = ReplicaFence("w", "c", lease_until_us=1 << 60)
     for n in range(2_000):
         fence, _ = fence.check_write(n, "inn", "c", 1, f"k{n}")
@@ -65,42 +75,42 @@
     assert len(fence.completed["inn"]) < 2_000
 
 
-@pytest.mark.xfail(strict=True, reason="F24: an index never gives a name back")
-def test_names_of_replicas_long_gone_are_given_back() -> None:
-    world = World(relays=1)
+@pytest.mark.xfail(strict=True, reason="F24: an index never releases a name")
+def test_the_names_of_replicas_gone_for_long_are_released() -> None:
+    fleet = GovernedFleet(proxy_count=1)
     for n in range(100, 400):
-        world.list(entry(n))
-        world.list(entry(n, "gone"))
-    world.now += 2 * 3_600_000_000
-    world.list(whole=True)
-    assert len(world.core.identifiers.replicas) < 300
+        fleet.update_endpoints(make_endpoint(n))
+        fleet.update_endpoints(make_endpoint(n, "gone"))
+    fleet.now_us += 2 * 3_600_000_000
+    fleet.update_endpoints(is_snapshot=True)
+    assert len(fleet.core.identifiers.replicas) < 300
 
 
-@pytest.mark.xfail(strict=True, reason="F25: a day's processes do not watch the day")
-def test_a_day_that_is_killed_leaves_no_process(tmp_path: Path) -> None:
-    scene_path = str(ROOT / "scenarios" / "short.kdl")
-    day = subprocess.Popen(
+@pytest.mark.xfail(strict=True, reason="F25: the processes of a scenario run do not monitor the run")
+def test_a_killed_scenario_run_leaves_no_process(tmp_path: Path) -> None:
+    scene_path = str(REPOSITORY / "scenarios" / "short.kdl")
+    run = subprocess.Popen(
         [sys.executable, "-m", "gradehoist", "day", scene_path, "--quiet", "--out", str(tmp_path)],
-        cwd=ROOT,
+        cwd=REPOSITORY,
         stdout=subprocess.DEVNULL,
     )
 
     def children() -> list[psutil.Process]:
-        """Those that have this run's folder among their words."""
-        found = [p for p in psutil.process_iter(["cmdline"]) if p.pid != day.pid]
-        return [p for p in found if any(str(tmp_path) in word for word in p.info["cmdline"] or ())]
+        """Returns the processes with the folder of this run in their command line."""
+        others = [p for p in psutil.process_iter(["cmdline"]) if p.pid != run.pid]
+        return [p for p in others if any(str(tmp_path) in argument for argument in p.info["cmdline"] or ())]
 
     try:
         for _ in range(200):
             time.sleep(0.05)
             if len(children()) >= 4:
                 break
-        day.send_signal(signal.SIGKILL)
-        day.wait()
-        mine = children()
-        assert len(mine) >= 4
-        _, left = psutil.wait_procs(mine, 2.0)
-        assert not left
+        run.send_signal(signal.SIGKILL)
+        run.wait()
+        run_processes = children()
+        assert len(run_processes) >= 4
+        _, remaining = psutil.wait_procs(run_processes, 2.0)
+        assert not remaining
     finally:
         for process in children():
             process.kill()
