--- a/tests/support/platform_proxies.py
+++ b/tests/support/platform_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies of the platform under a virtual clock: they apply messages by their own reading of the bytes."""
+"""Simulated platform proxies under a virtual clock, with their own message parser."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def discovered(number: int, phase: Phase = Phase.READY, started_us: int = 0) -> DiscoveredEndpoint:
-    """Replica s-NUMBER as discovery lists it."""
+    """Returns replica s-NUMBER as listed by discovery."""
     return DiscoveredEndpoint(
         replica=f"s-{number}",
         address=f"127.0.0.1:{7000 + number}",
@@ -46,7 +46,7 @@
 
 @dataclass
 class Proxy:
-    """One proxy's tables, admission limits and withdrawals, by the protocol page alone."""
+    """The tables, admission limits and withdrawals of one proxy, independent of the encoder's code."""
 
     number: int
     zone: str
@@ -56,10 +56,10 @@
     withdrawn: set[str] = field(default_factory=set)
     unacknowledged: list[int] = field(default_factory=list)
     message_count: int = 0
-    is_stalled: bool = False  # it reads nothing and acknowledges nothing
+    is_stalled: bool = False  # a stalled proxy neither reads nor acknowledges messages
 
     def read(self, data: bytes) -> int:
-        """Applies one message, and returns how many lines it counts."""
+        """Applies one message and returns its cost in lines."""
         parts = data.decode().split("\r\n")
         assert parts.pop() == ""
         assert len(parts) <= 64
@@ -100,13 +100,13 @@
         return len(withdrawn) + len(restored)
 
     def available(self, request_class: str) -> dict[str, float]:
-        """The lines of a class's table that are not withdrawn."""
+        """Returns the weights in a class's table, without withdrawn replicas."""
         table = self.tables[request_class]
         return {replica: weight for replica, weight in table.items() if replica not in self.withdrawn}
 
 
 class Site:
-    """A node's core with joined proxies, three seconds after the start."""
+    """A node core with joined proxies, three seconds after the start."""
 
     def __init__(self, replicas: int = 6, proxies: int = 4) -> None:
         self.now_us = 1_800_000_000 * SECOND
@@ -136,20 +136,20 @@
         proxy.stream_id = self.core.on_proxy_joined(self.now_us, hello)
 
     def join_late(self, proxy: Proxy, is_new: bool = True) -> Proxy:
-        """Adds a proxy to those of the start."""
+        """Adds a proxy after the start and joins it."""
         self.proxies.append(proxy)
         self.join(proxy, is_new)
         return proxy
 
     def update(self, *endpoints: DiscoveredEndpoint) -> None:
-        """A delta of the endpoint list."""
+        """Sends the core a delta of the endpoint list."""
         self.revision += 1
         self.core.on_endpoint_update(
             EndpointListUpdate(revision=self.revision, is_snapshot=False, endpoints=endpoints)
         )
 
     def step(self) -> None:
-        """One step of the core; proxies read at once what it sends."""
+        """Runs one step of the core; proxies read its messages immediately."""
         self.core.advance(self.now_us)
         messages, self.core.outbound = self.core.outbound, []
         for message in messages:
@@ -160,13 +160,13 @@
                     proxy.read(message.data)
 
     def acknowledge(self, proxy: Proxy, revision: int, stream_id: int | None = None) -> None:
-        """An acknowledgement over a stream of this proxy, by default over its current one."""
+        """Sends an acknowledgement on a stream of the proxy, by default the current one."""
         acknowledgement = lines.Acknowledgement(proxy=proxy.number, revision=revision, elapsed_us=1_000)
-        over = proxy.stream_id if stream_id is None else stream_id
-        self.core.on_acknowledged(self.now_us, proxy.number, over, acknowledgement)
+        stream = proxy.stream_id if stream_id is None else stream_id
+        self.core.on_acknowledged(self.now_us, proxy.number, stream, acknowledgement)
 
     def acknowledge_all(self) -> None:
-        """All proxies acknowledge what they have read, but for the stalled ones."""
+        """Acknowledges the messages that the proxies have read, except those of stalled proxies."""
         for proxy in self.proxies:
             for revision in proxy.unacknowledged if not proxy.is_stalled else []:
                 self.core.on_stream_active(self.now_us, proxy.number, proxy.stream_id)
@@ -174,7 +174,7 @@
             proxy.unacknowledged = []
 
     def run(self, seconds: float) -> None:
-        """Steps and acknowledges 20 times a second."""
+        """Advances the time in 20 steps a second, each followed by acknowledgements."""
         end_us = self.now_us + int(seconds * SECOND)
         while self.now_us < end_us:
             self.now_us += SECOND // 20
