--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -361,7 +361,7 @@
 
 
 def test_an_older_snapshot_from_the_previous_watch_undoes_no_drain(tmp_path: Path) -> None:
-    """SIGHUP arrives while a watch is being reopened; its older snapshot arrives after that of the new watch."""
+    """SIGHUP arrives while a watch is reopened; its older snapshot arrives after that of the new watch."""
 
     async def scenario(harness: NodeHarness) -> None:
         first, second = harness.discoveries
