--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node's core with the real policy: what proxies hold after events, by their reading of the bytes."""
+"""The node's core with the real policy: the state of simulated proxies after events."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     assert not site.core.policy.fleet.flow.unacknowledged_lines, "every message was acknowledged"
 
 
-OTHER = {
+OTHER_SETTINGS = {
     "azs": ["p", "q", "r"], "kinds": ["large", "small"],
     "classes": [{"name": n, "aim": 0.2, "deadline": 9.0, "idempotency": "single_shot", "worth": w}
                 for n, w in (("quote", 1.0), ("seal", 7.0), ("scan", 2.0), ("hold", 3.0))],
@@ -39,13 +39,16 @@
 
 
 def test_two_different_deployments_in_one_process_share_no_state() -> None:
-    """Side by side, and one after the other, each gives the bytes that it gives alone."""
+    """Run interleaved or one after the other, each core sends the same bytes as when it runs alone."""
 
-    def one(settings: dict[str, Any], zone: str) -> Iterator[tuple[int, int, bytes]]:
-        names, now = platform.parse_identifiers(settings), 1_800_000_000 * SECOND
-        some = tuple(replace(discovered(n), zone=zone) for n in range(5))
+    def run_core(settings: dict[str, Any], zone: str) -> Iterator[tuple[int, int, bytes]]:
+        identifiers, now = platform.parse_identifiers(settings), 1_800_000_000 * SECOND
+        endpoints = tuple(replace(discovered(n), zone=zone) for n in range(5))
         core = NodeCore(
-            names, platform.parse_config(settings, names, 7), EndpointListUpdate(1, True, some), now
+            identifiers,
+            platform.parse_config(settings, identifiers, 7),
+            EndpointListUpdate(1, True, endpoints),
+            now,
         )
         for second in range(8):
             core.on_proxy_joined(now, lines.ProxyHello(second % 4, zone, 5.0 + second, second < 4))
@@ -59,15 +62,15 @@
             yield from core.outbound
             core.outbound.clear()
 
-    alone = [list(one(SETTINGS, "a")), list(one(OTHER, "p"))]
-    beside = [list[tuple[int, int, bytes]](), list[tuple[int, int, bytes]]()]
-    for pair in zip_longest(one(SETTINGS, "a"), one(OTHER, "p")):
-        for kept, told in zip(beside, pair, strict=True):
-            kept += [told] if told is not None else []
-    assert beside == alone
-    assert all(len(some) > 10 for some in alone)
+    alone = [list(run_core(SETTINGS, "a")), list(run_core(OTHER_SETTINGS, "p"))]
+    interleaved = [list[tuple[int, int, bytes]](), list[tuple[int, int, bytes]]()]
+    for pair in zip_longest(run_core(SETTINGS, "a"), run_core(OTHER_SETTINGS, "p")):
+        for messages, message in zip(interleaved, pair, strict=True):
+            messages += [message] if message is not None else []
+    assert interleaved == alone
+    assert all(len(messages) > 10 for messages in alone)
     assert alone[0] != alone[1]
-    assert [list(one(OTHER, "p")), list(one(SETTINGS, "a"))] == alone[::-1]
+    assert [list(run_core(OTHER_SETTINGS, "p")), list(run_core(SETTINGS, "a"))] == alone[::-1]
 
 
 def test_proxies_with_equal_messages_share_their_bytes() -> None:
@@ -80,15 +83,15 @@
     assert len({id(data) for data in drains}) < 8
 
 
-@pytest.mark.parametrize("order", permutations(["drain", "rejoin", "restart", "deaf"]))
+@pytest.mark.parametrize("order", permutations(["drain", "rejoin", "restart", "stall"]))
 def test_a_drain_reaches_every_proxy_in_any_order_of_faults(order: tuple[str, ...]) -> None:
     site = Site()
-    for word in order:
-        if word == "drain":
+    for fault in order:
+        if fault == "drain":
             site.update(discovered(2, Phase.DRAINING))
-        elif word == "rejoin":
+        elif fault == "rejoin":
             site.join(site.proxies[0], is_new=False)
-        elif word == "restart":
+        elif fault == "restart":
             site.update(discovered(4, Phase.READY, site.now_us))
         else:
             site.proxies[1].is_stalled = True
@@ -99,7 +102,7 @@
     for proxy in site.proxies:
         for cls in CLASSES:
             assert "s-2" not in proxy.available(cls)
-            assert proxy.available(cls), "nothing to pick"
+            assert proxy.available(cls), "no replica is available"
 
 
 def test_a_full_table_is_sent_with_the_admission_limits_that_it_resets() -> None:
@@ -111,7 +114,7 @@
 
 
 def test_withdrawals_of_another_governor_end_on_joining_but_for_draining_replicas() -> None:
-    """A proxy keeps what it is shut out from over a change of streams: unsaid, it avoided it for good."""
+    """A proxy keeps withdrawals when it changes streams, and avoided the replicas for ever."""
     site = Site()
     site.update(discovered(3, Phase.DRAINING))
     site.run(1)
@@ -136,7 +139,7 @@
     assert not site.core.pending_events
 
 
-def test_a_vanished_proxy_delays_no_weights_and_continues_once_it_is_heard_again() -> None:
+def test_a_silent_proxy_delays_no_weights_and_is_not_bound_again_when_it_resumes() -> None:
     site = Site()
     proxy = site.proxies[0]
     proxy.is_stalled = True
@@ -144,11 +147,11 @@
     site.run(6)
     assert not site.core.policy.fleet.flow.unacknowledged_lines
     assert site.core.streams.overdue_count
-    binds = proxy.message_count
+    message_count = proxy.message_count
     proxy.is_stalled = False
     site.core.on_stream_active(site.now_us, proxy.number, proxy.stream_id)
     site.run(1)
-    assert proxy.message_count == binds
+    assert proxy.message_count == message_count
     assert len(site.core.policy.fleet.flow.message_times[proxy.number]) > 1
 
 
@@ -158,15 +161,16 @@
     proxy.is_stalled = True
     site.update(discovered(5, Phase.DRAINING))
     site.run(6)
-    proxy.is_stalled = False  # it stood still, and reads on
+    proxy.is_stalled = False  # the proxy resumes reading
     site.update(discovered(1, Phase.DRAINING))
     site.step()
     assert "s-1" in proxy.withdrawn
 
 
-def test_a_message_that_waits_in_the_channel_is_not_overdue() -> None:
-    """herd+mass: behind 6 s of queue, 16 of 346 streams whose answers came a moment after the others' were
-    given up; their lines left the books and not the channel, which then held 36,019 where 36,000 may wait."""
+def test_a_message_queued_in_the_channel_is_not_overdue() -> None:
+    """In the run herd+mass, with a queue of 6 s, the messages of 16 of 346 streams were given up because their
+    acknowledgements arrived slightly after those of the others. The policy no longer counted lines that were
+    still queued, and 36,019 lines were queued in a channel that allows 36,000."""
     site = Site()
     for proxy in site.proxies:
         proxy.is_stalled = True
@@ -181,7 +185,7 @@
     assert site.core.policy.fleet.flow.unacknowledged_lines > 0
 
 
-def test_a_bind_omits_withdrawn_replicas_and_a_withdrawal_goes_to_those_whose_tables_name_it() -> None:
+def test_a_bind_omits_withdrawn_replicas_and_a_withdrawal_goes_to_proxies_with_the_replica() -> None:
     site = Site()
     site.update(discovered(2, Phase.DRAINING))
     site.run(1)
@@ -189,10 +193,10 @@
     site.run(1)
     assert set(late.tables["read"]) == {f"s-{n}" for n in (0, 1, 3, 4, 5)}
     assert not late.withdrawn
-    told = [p.message_count for p in site.proxies]
+    counts = [p.message_count for p in site.proxies]
     site.update(discovered(2, Phase.GONE))
     site.step()
-    assert [p.message_count for p in site.proxies] == told
+    assert [p.message_count for p in site.proxies] == counts
     site.update(discovered(2))
     site.run(3)
     assert all(p.available("read").get("s-2") for p in site.proxies)
@@ -219,12 +223,12 @@
     site.core.on_demand_reported(lines.Demand(1, "none", 1, 0, SECOND), 1)
     assert site.core.malformed.total == 5
     assert not site.core.pending_events
-    # What failed may have come in an earlier period: more of it than came is no fault.
+    # Incomplete requests may have arrived in an earlier period, so there may be more of them than requests.
     site.core.on_demand_reported(lines.Demand(1, "read", 1, 3, SECOND), 1)
     assert len(site.core.pending_events) == 1
 
 
-def test_four_hundred_joins_get_their_tables_within_the_channel_s_limits() -> None:
+def test_four_hundred_joins_get_their_tables_within_the_limits_of_the_channel() -> None:
     site = Site(proxies=8)
     for _ in range(50):
         for proxy in site.proxies:
@@ -238,7 +242,7 @@
 
 
 def test_binds_carry_no_withdrawals_of_replicas_replaced_long_ago() -> None:
-    """A long day replaces replicas under new ids without end: each bind would grow by all that were."""
+    """Replicas are replaced under new ids throughout a day, and each bind would carry all former ones."""
     site = Site()
     for n in range(10, 30):
         site.update(discovered(n))
@@ -255,13 +259,13 @@
 
 
 def test_load_reports_reach_the_policy_by_the_names_that_the_settings_give() -> None:
-    """By the pages' names alone no report was ever read, and the loop that moves the weights stood still."""
+    """With only the documented metric names no report was parsed, and weights were never adjusted to load."""
     site = Site()
-    for words in ("outstanding:7,recent_ms:12.5,utilization:0.61", "inflight:7,latency_ms:12.5,util:0.61"):
-        line = f"outcomes site=a target=s-1 count=9 fail=0 mean=41 over=1000 util={words},novel:3"
-        met = parse_line(line.encode())
-        assert isinstance(met, lines.AttemptOutcomes)
-        site.core.on_outcomes_reported(met)
+    for metrics in ("outstanding:7,recent_ms:12.5,utilization:0.61", "inflight:7,latency_ms:12.5,util:0.61"):
+        line = f"outcomes site=a target=s-1 count=9 fail=0 mean=41 over=1000 util={metrics},novel:3"
+        report = parse_line(line.encode())
+        assert isinstance(report, lines.AttemptOutcomes)
+        site.core.on_outcomes_reported(report)
         event = site.core.pending_events.pop()
         assert isinstance(event, AttemptsReported)
         assert event.load == LoadReport(0.61, 7.0, 12.5)
@@ -274,23 +278,23 @@
         for n in range(6):
             busy = 0.95 if n == 0 else 0.4
             text = f"outcomes site=a target=s-{n} count=9 fail=0 mean=41 over=1000 util=utilization:{busy}"
-            met = parse_line(text.encode())
-            assert isinstance(met, lines.AttemptOutcomes)
-            site.core.on_outcomes_reported(met)
+            report = parse_line(text.encode())
+            assert isinstance(report, lines.AttemptOutcomes)
+            site.core.on_outcomes_reported(report)
         site.run(1)
     table = site.proxies[0].tables["read"]
     assert table["s-0"] / table["s-2"] < 0.8 * before / 1.0
 
 
 def test_messages_in_a_slow_channel_are_not_overdue() -> None:
-    """Its last messages come long after the first: taken for left, their lines left the books alone."""
+    """Late messages were given up while still queued, and the policy no longer counted their lines."""
     site = Site(proxies=8)
     for proxy in site.proxies:
         proxy.is_stalled = True
     site.update(discovered(5, Phase.DRAINING))
     site.step()
-    waiting = site.core.policy.fleet.flow.unacknowledged_lines
-    assert waiting > 0
+    unacknowledged = site.core.policy.fleet.flow.unacknowledged_lines
+    assert unacknowledged > 0
     for proxy in site.proxies:
         site.run(1.5)
         stream = site.core.streams.by_proxy[proxy.number]
