--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -28,8 +28,8 @@
         node.kill()
 
 
-def test_a_node_serves_watches_a_moved_discovery_and_ends_at_once(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_node_serves_proxies_follows_a_moved_discovery_and_stops_promptly(tmp_path: Path) -> None:
+    async def run() -> None:
         async with running(tmp_path) as node:
             first, second = node.discoveries
             proxy = await ProxyStream(node).connect()
@@ -37,7 +37,7 @@
             first.update_member(build_member("s-0", "leaving"))
             await proxy.read_until("out=s-0")
             second.revision, second.members = first.revision, dict(first.members)
-            node.path.write_text("{")  # half written: the previous one stays in effect
+            node.path.write_text("{")  # half written: the previous configuration stays in effect
             assert node.child is not None
             node.child.send_signal(signal.SIGHUP)
             await wait_until(lambda: "the previous configuration stays" in node.log.read_text())
@@ -50,24 +50,24 @@
                 writer.close()
             second.update_member(build_member("s-2", "leaving"))
             await proxy.read_until("out=s-2")
-            # Back where it was: one watch there, not a second one beside the watch that was open before.
+            # Discovery moves back: there must be one watch, not a second one beside the earlier one.
             node.configure(0)
-            asked = len(first.requested_paths)
+            request_count = len(first.requested_paths)
             node.child.send_signal(signal.SIGHUP)
             await wait_until(lambda: first.watches)
             for writer in list(first.watches + second.watches):
                 writer.close()
-            await wait_until(lambda: len(first.requested_paths) > asked + 1)
-            await asyncio.sleep(0.5)  # a second watcher would come back within 0.1 s
+            await wait_until(lambda: len(first.requested_paths) > request_count + 1)
+            await asyncio.sleep(0.5)  # a second watch would be reopened within 0.1 s
             assert len(first.watches) == 1
             assert not second.watches
             assert await node.stop() == 0
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_a_silent_discovery_is_watched_again_until_it_answers(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_watch_on_a_silent_discovery_is_reopened_until_it_answers(tmp_path: Path) -> None:
+    async def run() -> None:
         async with running(tmp_path) as node:
             first, proxy = node.discoveries[0], await ProxyStream(node).connect()
             await proxy.read_until("whole=1")
@@ -76,37 +76,37 @@
                 writer.close()
             await wait_until(lambda: "closed; retry" in node.log.read_text())
             await wait_until(lambda: "silent; retry" in node.log.read_text())
-            first.update_member(build_member("s-0", "leaving"))  # the node is not notified yet
+            first.update_member(build_member("s-0", "leaving"))  # not sent while discovery is silent
             first.is_silent = False
             await proxy.read_until("out=s-0")
             assert len(first.requested_paths) >= 3
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
 def test_hundreds_of_unknown_peers_take_no_descriptor_from_proxies(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run() -> None:
         async with running(tmp_path, sockets=72) as node:
-            silent = []
+            silent_peers = []
             for n in range(200):
                 reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
                 writer.write(b"" if n % 2 else b"hel")
-                silent.append((reader, writer))
+                silent_peers.append((reader, writer))
             proxies = [await ProxyStream(node, n).connect() for n in range(8)]
             for proxy in proxies:
                 await proxy.read_until("whole=1")
             async with asyncio.timeout(TIMEOUT_S):
-                for reader, _ in silent:
+                for reader, _ in silent_peers:
                     with contextlib.suppress(ConnectionError):
                         data = await reader.read()
                         assert not data or data.startswith(b"error")
             assert node.child is not None
             assert node.child.poll() is None
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-GARBAGE = [
+INVALID_INPUTS = [
     b"GET /x HTTP/1.1\r\nhost: a\r\n\r\n", b"\x00\xff" * 50, b"x" * 100_000,
     b"hello id=99 site=a rps=1 new=1\r\n",
     b"agent site=nowhere\r\n", b"ack id=1 seq=1 ms=1\r\n", b"push out=s-1\r\n",
@@ -116,12 +116,12 @@
 
 
 def test_unreadable_input_closes_its_connection_and_other_peers_continue(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run() -> None:
         async with running(tmp_path) as node:
             proxy = await ProxyStream(node).connect()
             await proxy.read_until("whole=1")
-            answers = await asyncio.gather(*(node.exchange(data, b"error") for data in GARBAGE))
-            assert all(a == b"" or a.startswith(b"error ") for a in answers)
+            responses = await asyncio.gather(*(node.exchange(data, b"error") for data in INVALID_INPUTS))
+            assert all(a == b"" or a.startswith(b"error ") for a in responses)
             proxy.writer.write(b"ack id=0 seq=x ms=1\r\ndemand id=0 lane=read count=-1 fail=0 over=1\r\n")
             node.discoveries[0].update_member(build_member("s-2", "leaving"))
             await proxy.read_until("out=s-2")
@@ -129,10 +129,10 @@
             with contextlib.suppress(ConnectionError):
                 assert await proxy.reader.read() == b""
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-@pytest.mark.parametrize(("text", "place"), [
+@pytest.mark.parametrize(("text", "message"), [
     (None, "ROUTER_CONFIG"), ("{", "not valid JSON"), ("[]", "not a JSON object"),
     ('{"listen": "x"}', "listen: 'x'"),
     ('{"listen": "127.0.0.1:1"}', "discovery: 'discovery' is missing"),
@@ -140,8 +140,8 @@
     ('{"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"classes": [{"name": "a",'
      ' "aim": "x"}]}}', "settings: could not convert"),
 ])  # fmt: skip
-def test_an_invalid_configuration_is_one_line_and_exit_2(
-    tmp_path: Path, text: str | None, place: str
+def test_an_invalid_configuration_gives_a_one_line_error_and_exit_code_2(
+    tmp_path: Path, text: str | None, message: str
 ) -> None:
     path = tmp_path / "config.json"
     if text is not None:
@@ -154,12 +154,12 @@
         timeout=TIMEOUT_S,
     )
     assert done.returncode == 2
-    assert place in done.stderr
+    assert message in done.stderr
     assert done.stderr.count("\n") == 1
 
 
 def test_a_failure_of_the_policy_ends_the_node_with_its_traceback(tmp_path: Path) -> None:
-    """Raised in a timer callback it only reached the log of the loop, and the node had no timer any more."""
+    """The event loop only logged an exception in a timer callback, and no further step was scheduled."""
     node = NodeProcess(tmp_path, SETTINGS, MEMBERS)
     node.configure(0)
     code = (
