--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP parser: framing, limits, any split of the bytes, and h11 as an oracle."""
+"""The HTTP parser: framing, limits, arbitrary splits of the input, and comparison with h11."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
         assert caught.value.status == status
 
 
-def test_a_failed_parser_reads_nothing_more_and_returns_what_was_complete_before() -> None:
+def test_a_failed_parser_returns_earlier_messages_and_parses_nothing_more() -> None:
     parser = Parser(Role.SERVER, SMALL)
     good = b"GET /a HTTP/1.1\r\nhost: a\r\n\r\n"
     assert [e.target for e in parser.receive(good + b"nonsense\r\n\r\n") if isinstance(e, Request)] == ["/a"]
@@ -69,7 +69,7 @@
         parser.receive(good)
 
 
-def test_an_expectation_is_an_event_only_while_the_body_is_still_to_come() -> None:
+def test_an_expectation_is_an_event_only_before_the_body_arrives() -> None:
     head = b"POST / HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 2\r\n\r\n"
     parser = Parser(Role.SERVER, SMALL)
     assert parser.receive(head) == [http.ContinueExpected()]
@@ -77,7 +77,7 @@
     assert [type(e) for e in Parser(Role.SERVER, SMALL).receive(head + b"hi")] == [Request]
 
 
-def test_responses_need_a_request_and_end_as_their_framing_says() -> None:
+def test_responses_need_a_request_and_end_according_to_their_framing() -> None:
     def client(*methods: str) -> Parser:
         parser = Parser(Role.CLIENT, SMALL)
         for method in methods:
@@ -86,22 +86,23 @@
 
     with pytest.raises(ProtocolError):
         client().receive(http.format_response(200))
-    both = http.format_response(100) + http.format_response(200, b"x") + http.format_response(204)
-    statuses = [e.status for e in client("GET", "GET").receive(both) if isinstance(e, http.Response)]
+    responses = http.format_response(100) + http.format_response(200, b"x") + http.format_response(204)
+    statuses = [e.status for e in client("GET", "GET").receive(responses) if isinstance(e, http.Response)]
     assert statuses == [100, 200, 204]
     head = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n"
     assert len(client("HEAD").receive(head)) == 1
     to_close = client("GET")
     assert to_close.receive(b"HTTP/1.1 200 OK\r\n\r\nabc") == []
-    (whole,) = to_close.receive_eof()
-    assert isinstance(whole, http.Response) and whole.body == b"abc" and not whole.keep_alive
-    cut = client("GET")
-    cut.receive(head + b"half")
-    with pytest.raises(ProtocolError):  # a governor killed within an answer: never taken for a whole one
-        cut.receive_eof()
+    (response,) = to_close.receive_eof()
+    assert isinstance(response, http.Response) and response.body == b"abc" and not response.keep_alive
+    truncated = client("GET")
+    truncated.receive(head + b"half")
+    # A truncated response, for example of a killed governor, must not be taken for a complete one.
+    with pytest.raises(ProtocolError):
+        truncated.receive_eof()
 
 
-def test_a_header_that_would_break_its_line_is_rejected() -> None:
+def test_a_header_value_with_control_characters_is_rejected() -> None:
     for value in ("a\r\nx: 1", "a\nb", "\0"):
         with pytest.raises(ValueError):
             http.format_response(200, b"", (("x", value),))
@@ -126,31 +127,31 @@
     return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
-def by_h11(data: bytes) -> list[tuple[str, str, list[tuple[str, str]], bytes]]:
-    connection, out = h11.Connection(h11.SERVER), []
+def parse_with_h11(data: bytes) -> list[tuple[str, str, list[tuple[str, str]], bytes]]:
+    connection, parsed = h11.Connection(h11.SERVER), []
     connection.receive_data(data)
     while True:
         event = connection.next_event()
         if isinstance(event, h11.Request):
             rows = [(k.decode(), v.decode()) for k, v in event.headers]
-            out.append((event.method.decode(), event.target.decode(), rows, b""))
+            parsed.append((event.method.decode(), event.target.decode(), rows, b""))
         elif isinstance(event, h11.Data):
-            out[-1] = (*out[-1][:3], out[-1][3] + bytes(event.data))
+            parsed[-1] = (*parsed[-1][:3], parsed[-1][3] + bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             connection.send(h11.Response(status_code=200, headers=[("content-length", "0")]))
             connection.send(h11.EndOfMessage())
             connection.start_next_cycle()
         else:
-            return out
+            return parsed
 
 
 @given(st.lists(requests(), min_size=1, max_size=3), st.data())
-def test_reads_as_h11_does_at_every_split(messages: list[bytes], data: st.DataObject) -> None:
-    whole = b"".join(messages)
-    cuts = data.draw(st.lists(st.integers(0, len(whole)), max_size=6))
-    expected = by_h11(whole)
-    for places in (cuts, list(range(len(whole)))):
-        got = [e for e in parse(whole, places, Limits()) if isinstance(e, Request)]
+def test_requests_are_parsed_as_by_h11_at_every_split(messages: list[bytes], data: st.DataObject) -> None:
+    input_bytes = b"".join(messages)
+    cuts = data.draw(st.lists(st.integers(0, len(input_bytes)), max_size=6))
+    expected = parse_with_h11(input_bytes)
+    for places in (cuts, list(range(len(input_bytes)))):
+        got = [e for e in parse(input_bytes, places, Limits()) if isinstance(e, Request)]
         assert [(e.method, e.target, list(e.headers), e.body) for e in got] == expected
 
 
