--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -1,4 +1,4 @@
-"""Requests to etcd: what is sent, byte for byte, and how its errors are sorted."""
+"""Requests to etcd, byte for byte, and the classification of its errors."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RecordingHttpClient:
-    """Stands in for Tornado's client: keeps what is sent and answers nothing."""
+    """Replaces Tornado's client: records the requests and fails each of them."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, bytes]] = []
@@ -34,7 +34,7 @@
         raise OSError("no network here")
 
     def close(self) -> None:
-        """As the real one has it."""
+        """Does nothing; the store calls it."""
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
         ),
     ],
 )
-def test_a_request_has_the_bytes_that_the_version_of_commit_88767ee_sent(
+def test_a_request_has_the_same_bytes_as_that_of_commit_88767ee(
     call: Callable[[EtcdStore], Awaitable[Any]], path: str, body: bytes
 ) -> None:
     async def send() -> list[tuple[str, bytes]]:
@@ -99,13 +99,13 @@
         ),
     ],
 )
-def test_an_error_says_whether_etcd_knows_the_outcome(
+def test_an_error_tells_whether_the_outcome_is_known(
     document: dict[str, Any], status: int, expected: type[Exception]
 ) -> None:
     assert type(classify_error(document, status, OutcomeUnknownError)) is expected
 
 
-def test_a_read_without_network_is_unavailable_and_a_write_is_of_unknown_outcome() -> None:
+def test_without_network_a_read_is_unavailable_and_a_write_has_an_unknown_outcome() -> None:
     async def send() -> None:
         store = EtcdStore("etcd", 2379)
         store._client._http = RecordingHttpClient()  # type: ignore[assignment]
