--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -168,7 +168,7 @@
 
 
 def test_a_message_queued_in_the_channel_is_not_overdue() -> None:
-    """In the run herd+mass, with a queue of 6 s, the messages of 16 of 346 streams were given up because their
+    """In the run herd+mass, with 6 s of queue, the messages of 16 of 346 streams were given up because their
     acknowledgements arrived slightly after those of the others. The policy no longer counted lines that were
     still queued, and 36,019 lines were queued in a channel that allows 36,000."""
     site = Site()
