--- a/gradehoist/cells/assignment.py
+++ b/gradehoist/cells/assignment.py
@@ -31,7 +31,7 @@
 class WriteDecision(Enum):
     """A replica's decision on a write.
 
-    Only ACCEPT runs the write; WRONG_CELL and NO_LEASE prove that it never ran at this replica.
+    Only ACCEPT runs the write; WRONG_CELL and NO_LEASE prove that this attempt never ran.
     """
 
     ACCEPT = "take"
--- a/gradehoist/cells/rollout.py
+++ b/gradehoist/cells/rollout.py
@@ -158,7 +158,7 @@
         return msgspec.structs.replace(self, step=RolloutStep.ROLL_BACK, halt_reason=reason)
 
     def with_rollback_completed(self) -> Rollout:
-        """Returns the record of a halted rollout after its replicas were rolled back."""
+        """Returns the record of a rollout that is halted for good and cannot be resumed."""
         return msgspec.structs.replace(self, step=RolloutStep.HALTED)
 
 
--- a/gradehoist/migration/rollout.py
+++ b/gradehoist/migration/rollout.py
@@ -71,7 +71,8 @@
     async def run(self, rollout: Rollout) -> Rollout:
         """Runs a rollout until it is done or halted.
 
-        A halt rolls back the current cell's replicas, if the rollout has a command for that.
+        A halt rolls back the replicas of the current cell whose update was started, if the rollout has a
+        command for that.
         """
         try:
             if rollout.step is not RolloutStep.ROLL_BACK:
@@ -215,7 +216,7 @@
         for replica in rollout.replicas[rollout.cell]:
             if rollout.rollback_command and replica in rollout.started_replicas:
                 await self._roll_back_replica(rollout, replica)
-        return self._record(rollout.with_rollback_completed(), "ended")
+        return self._record(rollout.with_rollback_completed(), "ended, cannot be resumed")
 
     async def _roll_back_replica(self, rollout: Rollout, replica: str) -> None:
         self._on_change(rollout, f"{rollout.cell}: rolling back {replica}")
--- a/gradehoist/migration/runner.py
+++ b/gradehoist/migration/runner.py
@@ -20,8 +20,8 @@
 from gradehoist.settings.fleet import Settings
 from gradehoist.settings.reader import parse_address
 
-# The delay before a notification is repeated. It doubles after each round without progress: without that, a
-# failed replica was notified three times a second until the end of its migration.
+# The delay before a notification is repeated. It doubles after each round without progress, up to the
+# maximum: without that, a failed replica was notified three times a second until the end of its migration.
 MIN_RETRY_DELAY_S = 0.3
 MAX_RETRY_DELAY_S = 5.0
 # The migrations that run at the same time. Each of them sends a message to every proxy.
@@ -70,7 +70,7 @@
         self._slots = asyncio.Semaphore(MAX_CONCURRENT_MIGRATIONS)
 
     async def run(self, migrations: list[Migration]) -> list[Migration]:
-        """Runs migrations until each is done, has a conflict, or was undone by another process."""
+        """Runs migrations until each is done or has a conflict; one that is undone is left to its undo."""
         poll_task = asyncio.ensure_future(self._poll_endpoint_list())
         try:
             return list(await asyncio.gather(*(self._run_in_slot(m) for m in migrations)))
--- a/gradehoist/settings/fleet.py
+++ b/gradehoist/settings/fleet.py
@@ -83,7 +83,8 @@
         folder: The folder of a store on this machine; None if the store is etcd.
         etcd_address: The address of etcd; None if the store is a folder.
         key_prefix: The prefix of all keys in etcd.
-        session_ttl_us: How long a session lasts without a renewal.
+        session_ttl_us: How long a session lasts without a renewal; other processes wait that long for its
+            owner.
         lost_after_us: How long contacts with a member have to fail before the member is regarded as lost.
         contact_interval_us: The time between two contacts with a member.
         fallback_hold_us: How long agreed limits remain in force while the store is unavailable.
--- a/gradehoist/settings/fleet_sections.py
+++ b/gradehoist/settings/fleet_sections.py
@@ -42,7 +42,7 @@
 
 
 def parse_load_reporting(node: Node, health_checks_allowed: bool) -> LoadReporting:
-    """Reads the node `reports`, except for the property `intake`."""
+    """Reads the node `reports`, except for `intake`, the rate at which the governor takes reports."""
     return LoadReporting(
         period_us=node.get("period", duration_parser("10ms")),
         has_busy_share=node.get("busy", parse_boolean, True),
--- a/gradehoist/settings/reader.py
+++ b/gradehoist/settings/reader.py
@@ -1,7 +1,8 @@
 """Reads KDL documents into checked values, and collects all errors with their positions.
 
-The parser is kdl-py, which supports KDL 1 and tells node converters the line of each node, so that invalid
-values can be reported with their position as well as syntax errors. ckdl is faster, but reports no positions.
+The parser is kdl-py, which supports KDL 1 and tells node converters the line and column of each node, so that
+invalid values can be reported with their position as well as syntax errors. ckdl is faster, but reports no
+positions.
 """
 
 from __future__ import annotations
--- a/gradehoist/store/sqlite_records.py
+++ b/gradehoist/store/sqlite_records.py
@@ -60,7 +60,7 @@
     def data_version(self) -> DataVersion:
         """Returns a value that shows, compared with an earlier one, whether the database has changed.
 
-        It is much cheaper than a query of the records.
+        It is cheap as long as nothing is written.
         """
         connection = self.connect()
         (version,) = connection.execute("PRAGMA data_version").fetchone()
