--- a/gradehoist/policy/publisher.py
+++ b/gradehoist/policy/publisher.py
@@ -8,13 +8,31 @@
 from gradehoist.fleet_state import Fleet, PeriodTimer
 from gradehoist.interface import ProxyJoined, TimerFired, WithdrawReplica
 
-QUEUE_SHARE = 0.5  # Of the queue limit, for binds and lines: the design's value.
-URGENT_QUEUE_SHARE = 0.85  # Drains may use more, but leave a margin for lines that are not counted exactly.
-MESSAGE_SHARE = 0.6  # Of a proxy's message limit; the rest is reserved for drains.
-BROADCAST_MESSAGE_SHARE = 0.3  # Of a proxy's message limit, for ejections, readmissions and admission.
-READMISSION_LINES = 3  # For each holder: the lifted withdrawal, the low line, and a line that it replaces.
+# The share of the queue limit that binds and lines of tables may use, which the design sets.
+QUEUE_SHARE = 0.5
+
+# Drains may use more of the queue limit. The rest is a margin for lines that are not counted exactly.
+URGENT_QUEUE_SHARE = 0.85
+
+# The share of a proxy's message limit that is not reserved for drains.
+MESSAGE_SHARE = 0.6
+
+# The share of a proxy's message limit for messages to all proxies. Ejections, readmissions and admission
+# rates have it in common.
+BROADCAST_MESSAGE_SHARE = 0.3
+
+# Lines that a readmission costs for each proxy with a line for the replica: the lifted withdrawal, the line
+# with the low weight, and the removal of a line that it replaces.
+READMISSION_LINES = 3
+
+# The shortest time between two turns of groups.
 MIN_TURN_INTERVAL_US = 20_000
-BIND_SLOTS = 4  # Per drain grace; proxies that joined within the same slot are bound in order of traffic.
+
+# A drain's grace is divided into this many slots. Proxies that joined within the same slot are bound in order
+# of their traffic.
+BIND_SLOTS_PER_GRACE = 4
+
+# Withdrawals that are written before all else, as requests to these replicas are soon lost.
 URGENT = (messages.Availability.DRAINING, messages.Availability.GONE)
 
 
@@ -26,22 +44,28 @@
         self.flow = fleet.flow
         self.proxies = fleet.proxies
         self.withdrawals = fleet.withdrawals
-        self.bind_slot_us = max(1, fleet.config.safety.drain_grace_us // BIND_SLOTS)
+        self.bind_slot_us = max(1, fleet.config.safety.drain_grace_us // BIND_SLOTS_PER_GRACE)
         self.is_subsetting = False
         period_us = fleet.config.load_reporting.period_us
-        self.last_turn_us = [-period_us] * len(fleet.groups)
+        self.last_turn_us = [-period_us] * len(fleet.groups)  # by group
         self.last_step_us = 0
         self.next_broadcast_us = 0
         interval_us = max(period_us // len(fleet.groups), MIN_TURN_INTERVAL_US)
         first_us = int(interval_us * (0.5 + fleet.loop.random()))
         self.timer = PeriodTimer(fleet.loop, fleet.flow, first_us, interval_us, period_us)
-        super().__init__(fleet.loop)  # Last, so that the timer receives its events first.
+        # The publisher subscribes last, so that the timer receives its events first.
+        super().__init__(fleet.loop)
 
     def _capacity(self, proxies: Iterable[int], lines: float = 0, queue_share: float = QUEUE_SHARE) -> float:
+        """Return how many lines may still be written after writing `lines` to each of `proxies`.
+
+        The result is minus infinity if one of them is at its message limit.
+        """
         return self.flow.available_lines(proxies, lines, queue_share, max(MESSAGE_SHARE, queue_share))
 
     def _on_proxy_joined(self, joined: ProxyJoined) -> None:
-        # Proxies with the most traffic are bound first, but all within a drain's grace of joining.
+        # Proxies with the most traffic are bound first. All proxies must be bound within a drain's grace,
+        # which runs from their joining, so earlier slots still come first.
         slot = self.loop.now_us // self.bind_slot_us
         group = self.proxies.smallest_group(joined.zone)
         self.proxies.add_proxy(joined.proxy, group, slot, joined.request_rate)
@@ -53,10 +77,13 @@
         """Write the changes of availability, binds and admission rates that fit, the most urgent first."""
         all_proxies = list(self.proxies.group_by_proxy)
         is_broadcast_due = self.loop.now_us >= self.next_broadcast_us
-        if is_broadcast_due:  # First: after ejections and readmissions, an outdated rate stayed for 5 s more.
+        # Admission rates come first. Written after ejections and readmissions, an outdated rate stayed in
+        # force for 5 s more.
+        if is_broadcast_due:
             self._write_admission(all_proxies)
         self._write_withdrawals(URGENT, URGENT_QUEUE_SHARE)
-        if is_broadcast_due:  # With a larger share, ejections would use up the messages that drains need.
+        # With a larger share, ejections would use up the messages that drains need.
+        if is_broadcast_due:
             self._write_withdrawals((messages.Availability.EJECTED,), QUEUE_SHARE)
         has_readmissions = is_broadcast_due and self._write_readmissions(all_proxies)
         self._write_binds()
@@ -71,77 +98,101 @@
 
     def _write_withdrawals(self, kinds: Collection[messages.Availability], queue_share: float) -> None:
         due = self.withdrawals.due(kinds)
+        # Without this, the capacity of a thousand proxies would be counted at each message of each cell's
+        # policy.
         if not due:
-            return  # This saves counting the capacity of a thousand proxies at each message of each cell.
-        holders = {n: self.proxies.holders(n) for n in due}
-        proxies = dict.fromkeys(proxy for some in holders.values() for proxy in some)
+            return
+        holders = {replica: self.proxies.holders(replica) for replica in due}
+        proxies = dict.fromkeys(proxy for replica_holders in holders.values() for proxy in replica_holders)
         lines = sum(map(len, holders.values()))
         fitting = self._capacity(proxies, queue_share=queue_share) * len(due) / max(1, lines)
-        # A message with few of many due lines waits, as drains written a few at a time came too late.
+        # While more lines are due than fit, a message with only a few of them waits: drains that were written
+        # a few at a time came too late.
         is_worth_it = fitting >= min(len(due), 2 * self.flow.overhead_lines)
         if fitting >= 1 and (is_worth_it or not self.flow.unacknowledged_lines):
-            for n in due[: int(fitting)]:
-                self.withdrawals.withdraw(n)
-                self.flow.write([WithdrawReplica(n, withdrawn=True)], holders[n], lines=1)
+            for replica in due[: int(fitting)]:
+                self.withdrawals.withdraw(replica)
+                self.flow.write([WithdrawReplica(replica, withdrawn=True)], holders[replica], lines=1)
 
     def _write_readmissions(self, all_proxies: list[int]) -> bool:
         due = self.withdrawals.due((messages.Availability.AVAILABLE,))
-        # Lines also go to proxies without one so far; counting only the holders broke message limits.
+        # The lines of readmitted replicas also go to proxies that have none so far. When only the proxies
+        # that had a line were counted, others exceeded their message limits.
         capacity = self._capacity(all_proxies) if due else 0.0
         mean_holders = self.proxies.mean_holders() if due else 0.0
         readmitted = list[int]()
-        for n in due:
-            holders = self.proxies.holders(n)
+        for replica in due:
+            holders = self.proxies.holders(replica)
             cost = READMISSION_LINES * max(len(holders), mean_holders)
-            # Proxies that wait for new tables would send a cold replica too much by their old ones.
-            is_ejected = self.withdrawals.withdrawn.get(n) is messages.Availability.EJECTED
+            # While proxies wait to be bound, they would send too many requests to a readmitted cold replica
+            # by their old tables.
+            is_ejected = self.withdrawals.withdrawn.get(replica) is messages.Availability.EJECTED
             if capacity >= cost and (is_ejected or not self.proxies.pending_binds):
                 capacity -= cost
                 self.flow.reserved_lines += cost - READMISSION_LINES * len(holders)
-                lift = [WithdrawReplica(n, withdrawn=False)] if self.withdrawals.readmit(n) else []
+                lift = (
+                    [WithdrawReplica(replica, withdrawn=False)] if self.withdrawals.readmit(replica) else []
+                )
                 self.flow.write(lift, holders, READMISSION_LINES)
-                readmitted.append(n)
+                readmitted.append(replica)
         if readmitted:
             self.loop.publish(messages.ReplicasReadmitted(readmitted))
         return bool(readmitted)
 
     def _write_binds(self) -> None:
-        # A proxy that joins may hold outdated tables and withdrawals, so it is bound as soon as its bind
-        # fits, but after drains: binds kept taking their place, and 1,382 messages were late (hd28492).
+        # A proxy that joins may hold tables and withdrawals of an earlier stream, so it is bound as soon as
+        # its bind fits. No bind is written while a drain waits for space in the queue: binds took up that
+        # space again and again, and 1,382 requests were sent to draining replicas after the grace (run
+        # hd28492).
         while self.proxies.pending_binds:
             unacknowledged = self.flow.unacknowledged_lines
             if unacknowledged and self.withdrawals.has_pending(URGENT):
                 return
             bind = self.proxies.next_bind(self.withdrawals.withdrawn.keys())
+            # A bind of more lines than `QUEUE_SHARE` of the queue is written once nothing else is in the
+            # queue.
             if self._capacity(()) < bind.lines and unacknowledged + self.flow.reserved_lines:
-                return  # A bind that needs more than half the queue is written on its own.
+                return
             self.proxies.bind_next(bind)
 
     def _on_timer_fired(self, _: TimerFired) -> None:
         now_us = self.loop.now_us
         outdated = [group for group, is_outdated in enumerate(self.proxies.is_outdated) if is_outdated]
-        # No weights go while a withdrawal waits: their message would count as sent knowing of the restart.
-        # With subsets, ejections go first too, as the channel is slow; elsewhere that starved the weights.
-        is_narrow = self.is_subsetting and now_us >= self.next_broadcast_us
+        # No weights are written while a withdrawal is pending: a message with weights would count as sent
+        # with knowledge of the replica's restart, although its withdrawal is not in it. With subsets, weights
+        # also wait for ejections, as the channel is too narrow for both. In other fleets, this starved the
+        # weights.
+        must_wait_for_ejections = self.is_subsetting and now_us >= self.next_broadcast_us
         if not self.withdrawals.has_pending(
-            (*URGENT, messages.Availability.EJECTED) if is_narrow else URGENT
+            (*URGENT, messages.Availability.EJECTED) if must_wait_for_ejections else URGENT
         ):
-            self._give_turn(outdated)
+            self._give_next_turn(outdated)
         if not outdated and self.flow.is_idle() and now_us - self.last_step_us >= self.timer.period_us:
             self.last_step_us = now_us
             self.loop.publish(messages.WeightStepDue())
 
-    def _give_turn(self, outdated: list[int]) -> None:
-        # Groups have a turn a period, by waiting time and by how few lines are open. With turns by number and
-        # capacity for a quarter of the groups, the last one had none, and one had a single cold replica.
-        waited = {g: (self.loop.now_us - self.last_turn_us[g]) / self.timer.period_us for g in outdated}
-        due = [g for g in outdated if waited[g] >= 1]
+    def _give_next_turn(self, outdated: list[int]) -> None:
+        """Give the next group that is due, and that the channel has capacity for, its turn to write.
+
+        A group has one turn a period. Groups that have waited longer, and whose tables have fewer open lines,
+        come first. With turns in the order of their numbers, and a channel with capacity for a quarter of the
+        groups in a period, the last group had no turn, and one group had a single cold replica left.
+        """
+        waited = {
+            group: (self.loop.now_us - self.last_turn_us[group]) / self.timer.period_us for group in outdated
+        }
+        due = [group for group in outdated if waited[group] >= 1]
         withdrawn = self.withdrawals.withdrawn.keys()
-        for group in sorted(due, key=lambda g: (-waited[g] / self.proxies.open_share(g, withdrawn), g)):
+        for group in sorted(
+            due, key=lambda group: (-waited[group] / self.proxies.open_share(group, withdrawn), group)
+        ):
             bound = self.proxies.bound[group]
             capacity = self._capacity(bound)
             if capacity >= len(bound):
                 self.last_turn_us[group] = self.loop.now_us
                 self.proxies.send(group, messages.WriteTurn(capacity, periods=int(waited[group])))
+            # At most one group has its turn, and if the queue has no space for it, the others wait too. Only
+            # a group with a proxy at its message limit is passed over, as it held up all other groups
+            # otherwise.
             if isfinite(capacity):
-                return  # It waits for the queue; a group at its message limit, in contrast, is passed over.
+                return
