--- a/gradehoist/policy/planner.py
+++ b/gradehoist/policy/planner.py
@@ -17,12 +17,19 @@
     def __init__(self, config: PolicyConfig, now_us: int) -> None:
         """Create an instance that knows no replicas and no proxies."""
         self.loop = MessageLoop(config.seed, now_us)
-        self.has_key_ranges = config.key_range_count > 0  # Such a deployment gets no orders yet.
-        # The most restricted classes come first, so that the zone layer gives them capacity first.
-        sets = classes_by_limits(config.classes)
-        limits = sorted(sets, key=lambda k: (not k.zone_local, not k.allowed_zones, not k.allowed_kinds))
-        class_sets = [sets[k] for k in limits]
-        groups = [ProxyGroup(self.loop, g, zone, class_sets) for g, zone in enumerate(group_zones(config))]
+        # A deployment with key ranges gets no orders yet.
+        self.has_key_ranges = config.key_range_count > 0
+        # The classes with the strictest placement limits come first, so that the zone weights give them
+        # capacity before the others.
+        sets_by_limits = classes_by_limits(config.classes)
+        strictest_first = sorted(
+            sets_by_limits,
+            key=lambda limits: (not limits.zone_local, not limits.allowed_zones, not limits.allowed_kinds),
+        )
+        class_sets = [sets_by_limits[limits] for limits in strictest_first]
+        groups = [
+            ProxyGroup(self.loop, index, zone, class_sets) for index, zone in enumerate(group_zones(config))
+        ]
         self.fleet = Fleet(self.loop, config, groups, class_sets, SMOOTHING)
         self.pool = Pool(self.fleet)
         self.admission = AdmissionController(self.fleet)
