--- a/gradehoist/fleet_state/fleet.py
+++ b/gradehoist/fleet_state/fleet.py
@@ -49,8 +49,8 @@
     def send_tables(self, planned: Sequence[Tables], live: Collection[int], proxy_zones: set[int]) -> None:
         """Send each group the tables that it should hold; `live` are the replicas with lines in them.
 
-        Replicas with lines only for groups of zones without own proxies are unused: no proxy reports their
-        load.
+        A replica is unused if it has lines only in tables of zones without proxies of this governor, as no
+        proxy then reports its load.
         """
         withdrawn = self.replicas.listed().difference(live)
         unused = set(live) if proxy_zones else set[int]()
--- a/gradehoist/fleet_state/proxy_groups.py
+++ b/gradehoist/fleet_state/proxy_groups.py
@@ -32,10 +32,14 @@
         zones = self.zones
         self.sizes = [0] * len(zones)
         self.group_by_proxy: dict[int, int] = {}
-        self.pending_binds: list[tuple[int, float, int]] = []  # heap of (slot, -request rate, proxy)
-        self.bound: list[dict[int, None]] = [{} for _ in zones]  # by group: members in the order of binding
-        self.replicas: list[list[frozenset[int]]] = [[] for _ in zones]  # by group, then by table
-        self.is_outdated = [False] * len(zones)  # by group: whether its tables differ from the plan
+        # Proxies that wait to be bound: a heap of (time slot, -request rate, proxy).
+        self.pending_binds: list[tuple[int, float, int]] = []
+        # The bound members of each group, in the order of binding.
+        self.bound: list[dict[int, None]] = [{} for _ in zones]
+        # The replicas that have lines, by group and then by table.
+        self.replicas: list[list[frozenset[int]]] = [[] for _ in zones]
+        # Whether the tables of each group differ from the plan.
+        self.is_outdated = [False] * len(zones)
 
     def smallest_group(self, zone: int) -> int:
         """Return the group of a zone with the fewest members, or group 0 if the zone has no group."""
@@ -56,8 +60,8 @@
         if left.proxy in self.bound[group]:
             del self.bound[group][left.proxy]
         else:
-            # Only a proxy with a pending bind needs this: doing it for each of a thousand proxies that left
-            # sorted all binds each time.
+            # Only a proxy with a pending bind needs this. When it was done for each of a thousand proxies
+            # that left, all pending binds were sorted each time.
             self.pending_binds = sorted(bind for bind in self.pending_binds if bind[2] != left.proxy)
 
     def _on_tables_written(self, written: TablesWritten) -> None:
--- a/gradehoist/fleet_state/replica_actor.py
+++ b/gradehoist/fleet_state/replica_actor.py
@@ -13,7 +13,8 @@
     """Keeps the state of one replica and sends it to the pool; a subclass decides how it changes."""
 
     receives_published = False
-    SLOW_START = 1.0  # share of the weight at which slow start begins; set by subclasses
+    # The share of the weight at which slow start begins; subclasses set it.
+    SLOW_START = 1.0
 
     def __init__(self, loop: MessageLoop, state: ReplicaState, config: PolicyConfig) -> None:
         """Create the actor of a replica that appears in the endpoint list for the first time."""
@@ -58,7 +59,8 @@
     def _on_endpoint_changed(self, changed: EndpointChanged) -> None:
         has_restarted = changed.endpoint.started_us > self.state.endpoint.started_us
         self.state = replace(self.state, endpoint=changed.endpoint)
-        if has_restarted:  # It need not have been listed as gone in between.
+        # A replica that has restarted need not have been listed as gone in between.
+        if has_restarted:
             self._restart()
         self.publish_state()
 
--- a/gradehoist/fleet_state/replica_table.py
+++ b/gradehoist/fleet_state/replica_table.py
@@ -43,11 +43,16 @@
         self._warmup_us = config.safety.warmup_us
         self.endpoints: dict[int, Endpoint] = {}
         self.actors: dict[int, ReplicaActor] = {}
-        self.positions: dict[int, float] = {}  # on the ring of the replica's zone, from 0 to 1
-        self.held_back: set[int] = set()  # cold replicas that stay withdrawn for now
-        self.readmission_pending: set[int] = set()  # open replicas whose readmission is not written yet
-        self.unused: set[int] = set()  # live replicas without a line in the tables of own proxies
-        self.capacity_shortages: list[tuple[int, int]] = []  # (zone, class set) with too little capacity
+        # Position of each replica on the ring of its zone, from 0 to 1.
+        self.positions: dict[int, float] = {}
+        # Cold replicas that stay withdrawn for now.
+        self.held_back: set[int] = set()
+        # Open replicas whose readmission is not written yet.
+        self.readmission_pending: set[int] = set()
+        # Live replicas without a line in the tables of this governor's own proxies.
+        self.unused: set[int] = set()
+        # Pairs of a zone and a class set for which the zone has too little capacity.
+        self.capacity_shortages: list[tuple[int, int]] = []
         self.states: dict[int, ReplicaState] = {}
         self.zone_count = config.zone_count
         self.class_sets = class_sets
@@ -72,8 +77,9 @@
     def update(self, state: ReplicaState) -> bool:
         """Store a replica's new state; return whether tables and withdrawals have to be reconsidered."""
         replica = state.endpoint.replica
+        # The actor of a removed replica may still have sent a message.
         if replica not in self.actors:
-            return False  # A removed replica's actor may still have sent a message.
+            return False
         old = self.states.get(replica)
         self.states[replica] = state
         self.zone_count = max(self.zone_count, state.endpoint.zone + 1)
@@ -202,7 +208,7 @@
         return fmean(state.weight for state in self.open().values())
 
     def in_use(self) -> list[ReplicaState]:
-        """Return the open replicas that have lines in the tables of own proxies."""
+        """Return the open replicas that have lines in the tables of this governor's own proxies."""
         return [state for n, state in self.open().items() if n not in self.unused]
 
     def has_warm_open(self) -> bool:
--- a/gradehoist/fleet_state/request_rates.py
+++ b/gradehoist/fleet_state/request_rates.py
@@ -48,15 +48,17 @@
         self._class_sets = class_sets
         self._group_zones = group_zones
         self._smoothing = smoothing
-        self._groups: dict[int, int] = {}  # by proxy
+        self._groups: dict[int, int] = {}  # group by proxy
 
     def _on_proxy_joined(self, joined: ProxyJoined) -> None:
         class_count = len(self.recent_requests)
-        rate = joined.request_rate / class_count  # Classes count as equal until the proxy reports.
+        # Until the proxy reports, its requests count as divided equally among the classes.
+        rate = joined.request_rate / class_count
         self.proxies[joined.proxy] = ProxyRates(joined.zone, [rate] * class_count)
 
     def _on_proxy_assigned(self, assigned: ProxyAssigned) -> None:
-        if assigned.proxy in self.proxies:  # The proxy may have left in the same batch.
+        # The proxy may have left in the same batch.
+        if assigned.proxy in self.proxies:
             self._groups[assigned.proxy] = assigned.group
 
     def _on_proxy_left(self, left: ProxyLeft) -> None:
@@ -105,8 +107,8 @@
     def _shares(self, rates: list[list[float]], proxy_zones: list[int]) -> list[list[float]]:
         total = sum(map(sum, rates)) or 1.0
         own_share = min(1.0, len(proxy_zones) / self._proxy_count)
-        # The demand at other governors' proxies is estimated as if all zones had equally many proxies. By the
-        # zones' weights instead, an overloaded zone would never spill over.
+        # The demand at other governors' proxies is estimated as if all zones had equally many proxies. If it
+        # were estimated by the weights of the zones, an overloaded zone would never spill over.
         zone_count = len(rates)
         others = [
             max(0.0, 1 / zone_count - proxy_zones.count(zone) / self._proxy_count)
--- a/gradehoist/fleet_state/withdrawals.py
+++ b/gradehoist/fleet_state/withdrawals.py
@@ -12,7 +12,9 @@
     def __init__(self, loop: MessageLoop) -> None:
         """Create the state of a fleet without withdrawn replicas."""
         super().__init__(loop)
-        self.pending: dict[int, Availability] = {}  # updating an entry keeps its position
+        # Changes to be written, the oldest first. Updating an entry keeps its position.
+        self.pending: dict[int, Availability] = {}
+        # Withdrawn replicas, and why each of them is withdrawn.
         self.withdrawn: dict[int, Availability] = {}
 
     def _on_set_availability(self, change: SetAvailability) -> None:
--- a/gradehoist/messages.py
+++ b/gradehoist/messages.py
@@ -24,7 +24,8 @@
     AVAILABLE = "open"
 
 
-URGENT = frozenset({Availability.DRAINING, Availability.GONE})  # Requests sent there are soon lost.
+# Requests that are sent to a replica with one of these are soon lost.
+URGENT = frozenset({Availability.DRAINING, Availability.GONE})
 
 
 @dataclass(frozen=True, slots=True)
@@ -309,10 +310,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolAssessed:
-    """The state of the pool, once per report period; its `saturation` is 1 where the median replica's is.
+    """The state of the pool, once per report period.
 
-    `requests` are the recent requests by class, and `period_us` is the period that load reports cover.
-    `is_subsetting`: tables have lines for a subset of the replicas only.
+    `saturation` is 1 if the median replica is just at one of the limits of its load. `requests` are the
+    recent requests by class, and `period_us` is the period that load reports cover. `is_subsetting`: tables
+    have lines for a subset of the replicas only.
     """
 
     saturation: float
