--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -59,7 +59,8 @@
     message_window_us=10 * SECOND,
 )
 
-Report = tuple[int, int, LoadReport | None]  # of one replica: attempts, failures, load
+# What one replica reports: attempts, failures and load.
+Report = tuple[int, int, LoadReport | None]
 
 
 def policy_config(
@@ -112,14 +113,17 @@
     now_us: int = 100 * SECOND
     tables: dict[int, dict[int, float]] = field(default_factory=dict)
     proxies: dict[int, int] = field(default_factory=dict)  # zone by proxy
-    bound: dict[int, dict[int, int]] = field(default_factory=dict)  # by proxy: table by class
+    # The table of each class, by proxy.
+    bound: dict[int, dict[int, int]] = field(default_factory=dict)
     withdrawn: set[int] = field(default_factory=set)
     endpoints: dict[int, Endpoint] = field(default_factory=dict)
-    unacknowledged: deque[tuple[int, int, float]] = field(default_factory=deque)  # (proxy, revision, lines)
+    # Messages in the order of sending: (proxy, revision, lines).
+    unacknowledged: deque[tuple[int, int, float]] = field(default_factory=deque)
     timers: list[int] = field(default_factory=list)
     message_times: dict[int, list[int]] = field(default_factory=dict)  # by proxy
     orders: list[Order] = field(default_factory=list)
-    unroutable_since: dict[tuple[int, int, int], int] = field(default_factory=dict)  # proxy, class, table
+    # Since when a class has had no usable replica, by (proxy, class, table).
+    unroutable_since: dict[tuple[int, int, int], int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.policy = Planner(self.config, self.now_us)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -80,7 +80,8 @@
     fleet = running_fleet()
     fleet.run(5, {n: NORMAL_REPORT for n in range(9)})
     before = {t: dict(lines) for t, lines in fleet.tables.items()}
-    fleet.run(4)  # Without reports, the last ones become stale.
+    # Without new reports, the last ones become stale.
+    fleet.run(4)
     mark = len(fleet.orders)
     fleet.run(10, {0: (6, 0, LoadReport(1.0, 12.0))} | {n: NORMAL_REPORT for n in range(1, 7)})
     moved = [o for o in fleet.orders[mark:] if isinstance(o, SetWeight) and o.weight < before[o.table][0] / 2]
@@ -118,7 +119,8 @@
     fleet.run(5, {n: NORMAL_REPORT for n in range(9) if n not in zone})
     fleet.step(change(*(endpoint(n, READY, fleet.now_us) for n in zone)), delay_us=SECOND // 50)
     fleet.run(0.5)
-    assert sum(fleet.traffic_share(0, 0, n) for n in zone) < 0.25  # Cold, they can take a fifth of a third.
+    # The replicas of the zone are a third of all. While they are cold, they can take a fifth of their load.
+    assert sum(fleet.traffic_share(0, 0, n) for n in zone) < 0.25
 
 
 def test_a_failing_replica_is_ejected_and_half_of_the_replicas_of_each_class_stay() -> None:
@@ -194,7 +196,8 @@
     hot = {n: (6, 0, LoadReport(0.98 if n % 3 == 0 else 0.4, 8.0 if n % 3 == 0 else 1.0)) for n in range(9)}
     fleet.run(6, hot)
     early = sum(fleet.traffic_share(0, 0, n) for n in (0, 3, 6))
-    assert early < 0.9  # The zone's utilization takes effect before its weights fall.
+    # The utilization of the zone takes effect before its weights fall.
+    assert early < 0.9
     fleet.run(14, hot)
     assert sum(fleet.traffic_share(0, 0, n) for n in (0, 3, 6)) < min(0.8, early)
 
@@ -209,6 +212,11 @@
 
 
 def run_events(choices: list[tuple[int, int, int]], seed: int, queue: float = 2500.0) -> SimulatedFleet:
+    """Run a fleet through a sequence of events, and check all rules after each step.
+
+    A choice consists of the kind of event, the proxy or replica that it is about, and a number that varies
+    the details. After each event, replicas report for up to two seconds.
+    """
     fleet = SimulatedFleet(policy_config(seed=seed, queue_limit_lines=queue))
     fleet.step(EndpointsListed(EndpointListKind.CACHED, tuple(endpoint(n) for n in range(9))))
     for kind, n, x in choices:
@@ -328,14 +336,15 @@
 
 def test_weights_are_updated_when_reports_arrive_less_often_than_configured() -> None:
     fleet = running_fleet(config=policy_config((UNRESTRICTED,)))
-    for r in range(12):  # Each replica reports only every fourth second.
+    # Each replica reports only every fourth second.
+    for r in range(12):
         for n in range(9):
             load = LoadReport(0.9 if n == 4 else 0.4, 8.0 if n == 4 else 2.0)
             reports = [AttemptsReported(z, n, 24, 0, 200_000, 4 * SECOND, load) for z in range(3)]
             fleet.step(*(reports if (r + n) % 4 == 0 else []), delay_us=SECOND // 100)
         fleet.run(0.9)
     fleet.run(8)
-    # Shares in the tables of the replicas' own zone.
+    # Proxy 1 and both replicas are in zone 1.
     assert fleet.traffic_share(1, 0, 4) < 0.9 * fleet.traffic_share(1, 0, 1)
 
 
@@ -488,7 +497,8 @@
     run_at_channel_rate(fleet, 3)
     fleet.step(change(*(endpoint(n, GONE) for n in range(0, 150, 3))), delay_us=SECOND // 50)
     run_at_channel_rate(fleet, 12)
-    for n in range(0, 150, 3):  # `SimulatedFleet.check` asserts the message limit.
+    # `SimulatedFleet.check` asserts the message limit at each step.
+    for n in range(0, 150, 3):
         fleet.step(change(endpoint(n, READY, fleet.now_us - 30 * SECOND)), delay_us=SECOND // 50)
         for _ in range(3):
             fleet.step(*fleet.acknowledge(), TimerFired(0), delay_us=SECOND // 20)
@@ -506,7 +516,8 @@
     run_at_channel_rate(fleet, 4)
     fleet.step(change(*(endpoint(n, GONE) for n in range(0, 200, 3))), delay_us=SECOND // 50)
     run_at_channel_rate(fleet, 12)
-    back = range(0, 198, 39)  # These were adjacent when ring positions followed the golden ratio.
+    # These replicas were adjacent on the ring when positions followed the golden ratio.
+    back = range(0, 198, 39)
     fleet.step(change(*(endpoint(n) for n in back)), delay_us=SECOND // 50)
     run_at_channel_rate(fleet, 6)
     traffic = [
@@ -701,7 +712,8 @@
     back = [endpoint(n, started_us=fleet.now_us) for n in (0, 3, 6)]
     fleet.step(change(*back), QuotasAgreed((), tuple((n, 0.0) for n in (0, 3, 6))))
     fleet.run(12, {n: NORMAL_REPORT for n in range(9)})
-    assert fleet.open_lines(fleet.bound[0][2]).keys() == {0, 3, 6}  # the zone-local class
+    # Class 2 is the zone-local one.
+    assert fleet.open_lines(fleet.bound[0][2]).keys() == {0, 3, 6}
 
 
 def proxies_with_new_replica(
