--- a/bench/scenario_shares.py
+++ b/bench/scenario_shares.py
@@ -31,7 +31,7 @@
         ScenarioRun(scenario, build_plan(scenario, seed, *flags), _run_folder(seed, way))
         for way, flags in WAYS.items()
     ]
-    await asyncio.gather(*(run.play() for run in runs))
+    await asyncio.gather(*(run.execute() for run in runs))
 
 
 def measure_shares() -> None:
--- a/gradehoist/cli/scenario.py
+++ b/gradehoist/cli/scenario.py
@@ -27,7 +27,7 @@
 COLOUR_BY_STATE = {
     RuleState.KEPT: "green",
     RuleState.BROKEN: "bold red",
-    RuleState.NOT_JUDGED: "yellow",
+    RuleState.INCONCLUSIVE: "yellow",
 }
 RIGHT_COLUMNS = ("limit used", "occasions")
 PROGRESS_COLUMNS = (
@@ -89,7 +89,7 @@
     page = write_report(folder, plan, verdict)
     show_verdict(plan, verdict)
     Console().print(f"page: {page}")
-    return verdict.is_passed
+    return verdict.has_passed
 
 
 def _run_with_progress(scenario: Scenario, plan: Plan, folder: Path, quiet: bool) -> bool:
@@ -114,7 +114,7 @@
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, run.stop.set)
-    return await run.play()
+    return await run.execute()
 
 
 def _format_initials(verdict: Verdict | None) -> str:
@@ -182,4 +182,4 @@
         print(msgspec.json.format(msgspec.json.encode(verdict), indent=1).decode())
     else:
         show_verdict(plan, verdict)
-    return verdict.is_passed
+    return verdict.has_passed
--- a/gradehoist/scenario/checks/checker.py
+++ b/gradehoist/scenario/checks/checker.py
@@ -79,7 +79,7 @@
         elif missing_records:
             result.reason = "the records are not whole: " + missing_records
         elif self.is_undecidable:
-            result.state = RuleState.NOT_JUDGED
+            result.state = RuleState.INCONCLUSIVE
         elif result.occasions:
             result.state = RuleState.KEPT
         else:
--- a/gradehoist/scenario/checks/verdict.py
+++ b/gradehoist/scenario/checks/verdict.py
@@ -36,11 +36,11 @@
 
 
 class RuleState(StrEnum):
-    """What the records say of a rule; `NOT_JUDGED` where they are not enough or gave it no occasion."""
+    """What the records say of a rule; `INCONCLUSIVE` where they are not enough or gave it no occasion."""
 
     KEPT = "kept"
     BROKEN = "broken"
-    NOT_JUDGED = "not judged"
+    INCONCLUSIVE = "not judged"
 
 
 class Violation(msgspec.Struct):
@@ -58,7 +58,7 @@
 
     rule: Rule
     title: str = msgspec.field(name="name")
-    state: RuleState = RuleState.NOT_JUDGED
+    state: RuleState = RuleState.INCONCLUSIVE
     limit_used: float = msgspec.field(default=0.0, name="near")
     occasions: int = 0
     reason: str = msgspec.field(default="", name="why")
@@ -81,6 +81,6 @@
     requests: int = msgspec.field(name="transactions")
 
     @property
-    def is_passed(self) -> bool:
+    def has_passed(self) -> bool:
         """Whether the records are complete and show no violation."""
         return self.is_complete and all(result.state is not RuleState.BROKEN for result in self.results)
--- a/gradehoist/scenario/runner.py
+++ b/gradehoist/scenario/runner.py
@@ -74,7 +74,7 @@
         self._checker = _PeriodicCheck(plan, folder, check_interval_s)
         self._processes = ProcessGroup(self.folder)
 
-    async def play(self) -> bool:
+    async def execute(self) -> bool:
         """Plays the run; False where `stop` was set before its end.
 
         Raises:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -292,7 +292,7 @@
 def test_a_run_in_which_a_test_double_failed_does_not_pass() -> None:
     failed = stored(3, "stand_in_failed", "relays-hall-a", reason="x")
     verdict = check_stored(PLAN, [*started_run(), failed, *ended(9)])
-    assert not verdict.is_passed
+    assert not verdict.has_passed
     assert "failed" in verdict.reason
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -507,10 +507,10 @@
 def test_a_short_day_through_all_processes_keeps_the_rules(tmp_path: Path) -> None:
     script = read_scenario(ROOT / "scenarios" / "short.kdl")
     day = ScenarioRun(script, build_plan(script, 1), tmp_path)
-    assert asyncio.run(day.play())
+    assert asyncio.run(day.execute())
     _, verdict = check_run_folder(tmp_path)
     states = {rule.rule: rule.state for rule in verdict.results}
     assert states.pop(Rule.MIGRATIONS) == "not judged"  # a day without cells
-    assert verdict.is_passed and set(states.values()) == {"kept"}, verdict
+    assert verdict.has_passed and set(states.values()) == {"kept"}, verdict
     assert verdict.requests > 200 and verdict.completed_share > 0.5
     assert not [x for x in psutil.Process().children(recursive=True) if x.status() != psutil.STATUS_ZOMBIE]
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -909,7 +909,7 @@
         "queue": ("kept", 0.2, 12, []),
         "placement": ("kept", 0.0, 16, []),
     }
-    assert (verdict.is_complete, verdict.reason, verdict.is_passed) == (True, "", True)
+    assert (verdict.is_complete, verdict.reason, verdict.has_passed) == (True, "", True)
     assert (verdict.completed_share, verdict.requests) == (0.6087, 24)
     assert verdict.completed_share_by_class == {"rate-check": 0.7692, "booking-commit": 0.5455}
     assert run_command("audit", DATA / "run").exit_code == 0
@@ -971,7 +971,7 @@
         ),
         "placement": ("kept", 0.0, 7, []),
     }
-    assert (verdict.is_complete, verdict.is_passed) == (True, False)
+    assert (verdict.is_complete, verdict.has_passed) == (True, False)
     assert run_command("audit", DATA / "run-broken").exit_code == 1
 
 
