--- a/gradehoist/scenario/charts.py
+++ b/gradehoist/scenario/charts.py
@@ -21,7 +21,7 @@
     MessageApplied,
     Record,
     RequestCompleted,
-    StepTaken,
+    StepExecuted,
     StreamBegan,
 )
 from gradehoist.testbed.scenario_plan import Plan
@@ -187,7 +187,7 @@
 def _mark_steps(axes: Axes, records: list[Record], begin_us: int) -> None:
     """Draws a line at each step of the plan; steps within 0.1 s are one."""
     times_us = {
-        round(record.time_us - begin_us, -5) for record in records if isinstance(record.event, StepTaken)
+        round(record.time_us - begin_us, -5) for record in records if isinstance(record.event, StepExecuted)
     }
     for at_us in sorted(times_us):
         axes.axvline(at_us / 1e6, color="0.85", linewidth=0.8, zorder=0)
--- a/gradehoist/scenario/checks/channel.py
+++ b/gradehoist/scenario/checks/channel.py
@@ -122,12 +122,14 @@
         for applied, state in zip(ordered, states, strict=True):
             event, record = applied.event, applied.record
             created_us = applied.message.created_us
-            self.use_limit(state.waiting_lines / rules.queue_limit_lines)
+            self.update_limit_used(state.waiting_lines / rules.queue_limit_lines)
             if state.waiting_lines > rules.queue_limit_lines + QUEUE_TOLERANCE_LINES:
                 description = f"{state.waiting_lines:.0f} lines waited in the channel of {event.governor}"
-                self.report(created_us, description, [record], proxy=event.proxy)
+                self.add_violation(created_us, description, [record], proxy=event.proxy)
             if record.time_us < created_us:
-                self.report(record.time_us, "a message came before its order", [record], proxy=event.proxy)
+                self.add_violation(
+                    record.time_us, "a message came before its order", [record], proxy=event.proxy
+                )
 
     def _check_pace(self, ordered: list[AppliedMessage]) -> None:
         """Compares arrivals with the pace, so that false stamps or costs are found.
@@ -149,7 +151,7 @@
             time_us = applied.record.time_us
             if time_us + PACE_TOLERANCE_US < busy_since_us + sent_lines / lines_per_s * 1e6:
                 description = f"{applied.event.governor} writes faster than its stated pace"
-                self.report(time_us, description, [applied.record], proxy=applied.event.proxy)
+                self.add_violation(time_us, description, [applied.record], proxy=applied.event.proxy)
 
     def _check_message_rates(self, ordered: list[AppliedMessage]) -> None:
         """Compares the messages of each stream within a sliding window with their limit."""
@@ -161,10 +163,10 @@
             times_us = sorted(applied.message.created_us for applied in stream_messages)
             for number, time_us in enumerate(times_us, 1):
                 in_window = number - bisect_right(times_us, time_us - rules.message_window_us)
-                self.use_limit(in_window / rules.messages_per_window)
+                self.update_limit_used(in_window / rules.messages_per_window)
                 if in_window > rules.messages_per_window:
                     description = f"{in_window} messages within the window"
-                    self.report(time_us, description, [stream_messages[0].record], proxy=proxy)
+                    self.add_violation(time_us, description, [stream_messages[0].record], proxy=proxy)
 
 
 def _creation_order(applied: AppliedMessage) -> tuple[int, int, int]:
--- a/gradehoist/scenario/checks/checker.py
+++ b/gradehoist/scenario/checks/checker.py
@@ -45,11 +45,11 @@
         """Judges what needs all the records; `end_us` is the time of the last one."""
         return
 
-    def use_limit(self, share: float) -> None:
+    def update_limit_used(self, share: float) -> None:
         """Notes how much of the rule's limit was used up at some time."""
         self.result.limit_used = max(self.result.limit_used, share)
 
-    def report(
+    def add_violation(
         self,
         time_us: int,
         description: str,
@@ -70,7 +70,7 @@
         )
         self.result.violations.append(violation)
 
-    def conclude(self, missing_records: str) -> RuleResult:
+    def build_result(self, missing_records: str) -> RuleResult:
         """The result; `missing_records` says what the records lack, empty where they are complete."""
         result = self.result
         result.limit_used = round(result.limit_used, 4)
--- a/gradehoist/scenario/checks/completion.py
+++ b/gradehoist/scenario/checks/completion.py
@@ -24,7 +24,7 @@
         return round(self.completed / self.requested, 4) if self.requested else 0.0
 
 
-def completed_weight(request_class: RequestClassPlan, status: int, elapsed_us: int) -> float:
+def earned_weight(request_class: RequestClassPlan, status: int, elapsed_us: int) -> float:
     """The weight that a response earns: less after the latency objective, none after the deadline."""
     if status != OK_STATUS:
         return 0.0
@@ -44,6 +44,6 @@
             request_class = classes[record.event.request_class]
             elapsed_us = record.time_us - record.event.began_us
             weight = weights[request_class.name]
-            weight.completed += completed_weight(request_class, record.event.status, elapsed_us)
+            weight.completed += earned_weight(request_class, record.event.status, elapsed_us)
             weight.requested += request_class.priority_weight
     return weights
--- a/gradehoist/scenario/checks/drain.py
+++ b/gradehoist/scenario/checks/drain.py
@@ -32,12 +32,14 @@
             return
         grace_us = self.context.plan.rules.drain_grace_us
         elapsed_us = record.time_us - max(known.since_us, stream.since_us)
-        self.use_limit(elapsed_us / grace_us)
+        self.update_limit_used(elapsed_us / grace_us)
         if elapsed_us > grace_us:
             description = (
                 f"sent {elapsed_us / 1e6:.2f} s after {stream.governor} was told it is {known.phase}"
             )
-            self.report(record.time_us, description, [record], proxy=attempt.proxy, replica=attempt.replica)
+            self.add_violation(
+                record.time_us, description, [record], proxy=attempt.proxy, replica=attempt.replica
+            )
 
     def _must_stop(self, phase: str) -> bool:
         return phase == DRAINING or (phase == GONE and not self.context.plan.rules.gone_is_advisory)
--- a/gradehoist/scenario/checks/duplicate_effects.py
+++ b/gradehoist/scenario/checks/duplicate_effects.py
@@ -67,10 +67,10 @@
         effects = self.effects[request]
         if len(attempts) < 2 or len(effects) < 2:
             return
-        self.use_limit(1.0)
+        self.update_limit_used(1.0)
         record, attempt = attempts[-1]
         description = f"{request} took effect twice"
-        self.report(record.time_us, description, effects, proxy=proxy, replica=attempt.replica)
+        self.add_violation(record.time_us, description, effects, proxy=proxy, replica=attempt.replica)
 
     def _check_retries(self, proxy: str, request: str, attempts: list[tuple[Record, AttemptSent]]) -> None:
         without_effect = set(self.fenced_at[request])
@@ -81,8 +81,8 @@
             may_have_run = (earlier & self.arrived_at[request]) - without_effect
             if not may_have_run:
                 continue
-            self.use_limit(1.0)
+            self.update_limit_used(1.0)
             replicas = ", ".join(sorted(may_have_run))
             description = f"{request} sent again though it may have run at {replicas}"
             evidence = [sent_record for sent_record, _ in attempts]
-            self.report(record.time_us, description, evidence, proxy=proxy, replica=attempt.replica)
+            self.add_violation(record.time_us, description, evidence, proxy=proxy, replica=attempt.replica)
--- a/gradehoist/scenario/checks/migrations.py
+++ b/gradehoist/scenario/checks/migrations.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Placement:
+class TenantPlacement:
     """The cell that a tenant is in from a generation on."""
 
     generation: int
@@ -69,19 +69,19 @@
 
     def _check_generations(self, writes: list[Write]) -> None:
         """After the first effect of a generation none of an earlier one is at another cell."""
-        latest: dict[str, Placement] = {}
+        latest: dict[str, TenantPlacement] = {}
         for write in writes:
             effect = write.effect
             tenant = effect.tenant or ""
-            known = latest.get(tenant, Placement(generation=0, cell=""))
+            known = latest.get(tenant, TenantPlacement(generation=0, cell=""))
             if effect.generation < known.generation and effect.cell != known.cell:
                 description = (
                     f"{tenant}: generation {effect.generation} at {effect.cell} "
                     f"after {known.generation} at {known.cell}"
                 )
-                self.report(write.record.time_us, description, [write.record], replica=effect.replica)
+                self.add_violation(write.record.time_us, description, [write.record], replica=effect.replica)
             if effect.generation > known.generation:
-                latest[tenant] = Placement(generation=effect.generation, cell=effect.cell)
+                latest[tenant] = TenantPlacement(generation=effect.generation, cell=effect.cell)
 
     def _check_duplicates(self, writes_by_key: dict[str, list[Write]]) -> None:
         for key, writes in writes_by_key.items():
@@ -89,7 +89,7 @@
                 last = writes[-1]
                 evidence = [write.record for write in writes]
                 description = f"{key} was written twice"
-                self.report(last.record.time_us, description, evidence, replica=last.effect.replica)
+                self.add_violation(last.record.time_us, description, evidence, replica=last.effect.replica)
 
     def _check_lost_writes(self, writes_by_key: dict[str, list[Write]]) -> None:
         for record, completed in self.completed:
@@ -98,4 +98,4 @@
             request_class = self.context.fleet.classes[completed.request_class]
             if request_class.idempotency == Idempotency.NOT_IDEMPOTENT.value:
                 description = f"{completed.request} was answered and never written"
-                self.report(record.time_us, description, [record], proxy=completed.proxy)
+                self.add_violation(record.time_us, description, [record], proxy=completed.proxy)
--- a/gradehoist/scenario/checks/overload.py
+++ b/gradehoist/scenario/checks/overload.py
@@ -11,9 +11,9 @@
 
 # An overload counts where at least 2/3 of the work in the window came by governors that knew of the start;
 # the others can't be blamed. Two integers, so that work at just 2/3 counts whatever the rounding.
-NOTICED_NUMERATOR = 2
-NOTICED_DENOMINATOR = 3
-DEATH_WINDOW_US = 100_000  # a death this near to an arrival is of the load that it was part of
+KNOWN_NUMERATOR = 2
+KNOWN_DENOMINATOR = 3
+CRASH_WINDOW_US = 100_000  # a death this near to an arrival is of the load that it was part of
 
 
 @dataclass(frozen=True)
@@ -22,7 +22,7 @@
 
     record: Record
     attempt: AttemptArrived
-    is_noticed: bool
+    is_start_known: bool
 
 
 class OverloadChecker(Checker):
@@ -34,7 +34,7 @@
         """Begins without arrivals."""
         super().__init__(context)
         self.arrivals: dict[tuple[str, int], list[Arrival]] = defaultdict(list)  # by replica and incarnation
-        self.deaths: list[tuple[Record, ReplicaOverloaded]] = []
+        self.crashes: list[tuple[Record, ReplicaOverloaded]] = []
 
     def on_record(self, record: Record) -> None:
         """Notes arrivals at replicas that warm up, and deaths by overload."""
@@ -42,19 +42,19 @@
             case AttemptArrived(replica=replica, incarnation=incarnation, proxy=proxy, warmth=warmth):
                 if warmth < 1:
                     is_noticed = self._knows_of_start(proxy, replica, record.time_us)
-                    arrival = Arrival(record=record, attempt=record.event, is_noticed=is_noticed)
+                    arrival = Arrival(record=record, attempt=record.event, is_start_known=is_noticed)
                     self.arrivals[replica, incarnation].append(arrival)
             case ReplicaOverloaded():
-                self.deaths.append((record, record.event))
+                self.crashes.append((record, record.event))
 
     def finish(self, end_us: int) -> None:
         """Judges each start of a replica."""
         for (replica, incarnation), arrivals in self.arrivals.items():
             self.result.occasions += 1
             self._check_warmup(replica, incarnation, arrivals)
-        if self.deaths and not self.result.violations:
+        if self.crashes and not self.result.violations:
             self.result.reason = (
-                f"{len(self.deaths)} fell, mostly by relays whose governor could not know of the start"
+                f"{len(self.crashes)} fell, mostly by relays whose governor could not know of the start"
             )
 
     def _knows_of_start(self, proxy: str, replica: str, time_us: int) -> bool:
@@ -80,24 +80,24 @@
             while window[0].record.time_us < arrival.record.time_us - rules.overload_window_us:
                 window.popleft()
             work_ms = sum(each.attempt.work_ms for each in window)
-            noticed_ms = sum(each.attempt.work_ms for each in window if each.is_noticed)
-            if noticed_ms < work_ms * NOTICED_NUMERATOR / NOTICED_DENOMINATOR:
+            known_ms = sum(each.attempt.work_ms for each in window if each.is_start_known)
+            if known_ms < work_ms * KNOWN_NUMERATOR / KNOWN_DENOMINATOR:
                 continue
             capacity = replica.cores * replica.speed * arrival.attempt.warmth * 1e-3  # ms of work a µs
             budget_ms = rules.overload_multiple * capacity * rules.overload_window_us
-            self.use_limit(work_ms / budget_ms)
-            deaths = self._deaths_near(name, arrival.record.time_us)
-            if work_ms > budget_ms and deaths:
+            self.update_limit_used(work_ms / budget_ms)
+            crashes = self._crashes_near(name, arrival.record.time_us)
+            if work_ms > budget_ms and crashes:
                 description = (
                     f"pushed over in boot {incarnation}: {work_ms:.0f} ms of work in the span, "
                     f"{budget_ms:.0f} can be borne"
                 )
                 proxy = arrival.attempt.proxy
-                self.report(arrival.record.time_us, description, deaths, proxy=proxy, replica=name)
+                self.add_violation(arrival.record.time_us, description, crashes, proxy=proxy, replica=name)
 
-    def _deaths_near(self, replica: str, time_us: int) -> list[Record]:
+    def _crashes_near(self, replica: str, time_us: int) -> list[Record]:
         return [
             record
-            for record, death in self.deaths
-            if death.replica == replica and abs(record.time_us - time_us) < DEATH_WINDOW_US
+            for record, death in self.crashes
+            if death.replica == replica and abs(record.time_us - time_us) < CRASH_WINDOW_US
         ]
--- a/gradehoist/scenario/checks/placement.py
+++ b/gradehoist/scenario/checks/placement.py
@@ -26,7 +26,9 @@
         if fleet.is_allowed(request_class, fleet.replicas[attempt.replica], attempt.proxy):
             return
         description = f"{request_class.name} is not open there"
-        self.report(record.time_us, description, [record], proxy=attempt.proxy, replica=attempt.replica)
+        self.add_violation(
+            record.time_us, description, [record], proxy=attempt.proxy, replica=attempt.replica
+        )
 
     def _check_cell(self, record: Record, attempt: AttemptSent) -> None:
         if not attempt.cell or self.context.plan.cell_by_replica.get(attempt.replica) == attempt.cell:
@@ -35,4 +37,6 @@
         label = class_label(attempt.cell, attempt.request_class)
         if label in self.context.replay.proxy_states[attempt.proxy].table_by_class:
             description = f"sent for cell {attempt.cell}"
-            self.report(record.time_us, description, [record], proxy=attempt.proxy, replica=attempt.replica)
+            self.add_violation(
+                record.time_us, description, [record], proxy=attempt.proxy, replica=attempt.replica
+            )
--- a/gradehoist/scenario/checks/records.py
+++ b/gradehoist/scenario/checks/records.py
@@ -23,11 +23,11 @@
     """All processes were up and the clients were allowed to send."""
 
 
-class StepTaken(msgspec.Struct, frozen=True):
+class StepExecuted(msgspec.Struct, frozen=True):
     """The runner carried out a step of the plan."""
 
     target: str
-    order: dict[str, object] = msgspec.field(name="do")
+    command: dict[str, object] = msgspec.field(name="do")
 
 
 class ProcessEnded(msgspec.Struct, frozen=True):
@@ -171,7 +171,7 @@
 
 Event = (
     ScenarioBegan
-    | StepTaken
+    | StepExecuted
     | ProcessEnded
     | ProcessFailed
     | ProxyStarted
@@ -195,7 +195,7 @@
 
 EVENT_TYPES: dict[str, type[Event]] = {
     "day_begins": ScenarioBegan,
-    "step": StepTaken,
+    "step": StepExecuted,
     "ended": ProcessEnded,
     "stand_in_failed": ProcessFailed,
     "relay_up": ProxyStarted,
--- a/gradehoist/scenario/checks/run_check.py
+++ b/gradehoist/scenario/checks/run_check.py
@@ -73,7 +73,7 @@
     return Verdict(
         is_complete=not missing,
         reason=missing,
-        results=[checker.conclude(missing) for checker in checkers],
+        results=[checker.build_result(missing) for checker in checkers],
         completed_share=total.share,
         completed_share_by_class={name: weight.share for name, weight in by_class.items()},
         requests=sum(isinstance(record.event, RequestCompleted) for record in records),
--- a/gradehoist/scenario/checks/unroutable.py
+++ b/gradehoist/scenario/checks/unroutable.py
@@ -66,12 +66,12 @@
         if view is None:
             return False
         return any(
-            known.phase == READY and self._is_open(replica, proxy, cell_class, time_us)
+            known.phase == READY and self._may_receive(replica, proxy, cell_class, time_us)
             for replica, known in view.phases.items()
             if replica in self.context.fleet.replicas
         )
 
-    def _is_open(self, replica: str, proxy: str, cell_class: ClassInCell, time_us: int) -> bool:
+    def _may_receive(self, replica: str, proxy: str, cell_class: ClassInCell, time_us: int) -> bool:
         plan, fleet = self.context.plan, self.context.fleet
         if plan.cell_by_replica.get(replica, "") != cell_class.cell:
             return False
@@ -86,8 +86,8 @@
             return
         limit_us = self.context.plan.rules.unroutable_limit_us
         elapsed_us = time_us - since_us
-        self.use_limit(elapsed_us / limit_us)
+        self.update_limit_used(elapsed_us / limit_us)
         if elapsed_us > limit_us:
             earlier = [record for record in self.applied[proxy] if record.time_us <= since_us]
             description = f"{label}: no line to pick for {elapsed_us / 1e6:.2f} s"
-            self.report(since_us, description, earlier[-1:], proxy=proxy)
+            self.add_violation(since_us, description, earlier[-1:], proxy=proxy)
--- a/gradehoist/scenario/definition.py
+++ b/gradehoist/scenario/definition.py
@@ -78,8 +78,8 @@
     warmup_us: int
     report_period_us: int
     handshake_work_ms: float
-    drops_waiting: bool
-    full_is_proof: bool
+    drops_abandoned_requests: bool
+    rejection_proves_no_effect: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/gradehoist/scenario/definition_reader.py
+++ b/gradehoist/scenario/definition_reader.py
@@ -204,8 +204,8 @@
         warmup_us=node.get_duration_us("cold", "10s"),
         report_period_us=node.get_duration_us("report", "700ms"),
         handshake_work_ms=node.get_number("handshake", 3),
-        drops_waiting=node.get_boolean("drops-waiting", False),
-        full_is_proof=node.get_boolean("full-is-proof", True),
+        drops_abandoned_requests=node.get_boolean("drops-waiting", False),
+        rejection_proves_no_effect=node.get_boolean("full-is-proof", True),
     )
     node.reject_unread()
     return behaviour
--- a/gradehoist/scenario/errors.py
+++ b/gradehoist/scenario/errors.py
@@ -27,12 +27,12 @@
         self.exit_code = exit_code
 
 
-class OrderRejectedError(ScenarioRunError):
+class CommandRejectedError(ScenarioRunError):
     """The process of a role rejected an order of the plan; `reason` is its response."""
 
-    def __init__(self, role: str, order: dict[str, object], reason: str) -> None:
+    def __init__(self, role: str, command: dict[str, object], reason: str) -> None:
         """Makes the text."""
-        super().__init__(f"{role} refused {order}: {reason}")
+        super().__init__(f"{role} refused {command}: {reason}")
         self.role = role
-        self.order = order
+        self.command = command
         self.reason = reason
--- a/gradehoist/scenario/faults/kinds.py
+++ b/gradehoist/scenario/faults/kinds.py
@@ -18,7 +18,7 @@
 DEFAULT_MAGNITUDE = 3.0
 
 FAULT_KINDS: dict[str, Callable[[FaultSteps], None]] = {
-    "ageing": replica.age,
+    "ageing": replica.degrade_until_crash,
     "counter_down": control_plane.disconnect_proxies,
     "crash": replica.crash,
     "drain": replica.drain,
@@ -31,7 +31,7 @@
     "mass_restart": replica.restart_many,
     "move": traffic.migrate_tenants,
     "neighbour": replica.add_noisy_neighbour,
-    "one_sided": network.impair_one_zone,
+    "one_sided": network.impair_zone_links,
     "origin_slow": control_plane.slow_channel,
     "preempt": replica.preempt,
     "reconnect": control_plane.reset_streams,
@@ -41,7 +41,7 @@
     "shift": traffic.shift_traffic,
     "shrink": replica.shrink_fleet,
     "slow": replica.slow_down,
-    "vanish": replica.vanish,
+    "vanish": replica.fail_silently,
     "zone_cut": network.partition_zone,
     "zone_loss": network.lose_zone,
 }
--- a/gradehoist/scenario/faults/network.py
+++ b/gradehoist/scenario/faults/network.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from gradehoist.scenario.faults.fault import Variant
-from gradehoist.scenario.faults.steps import REPAIRED, RUNNER_ROLE, SWALLOWING, FaultSteps
+from gradehoist.scenario.faults.steps import BLACKHOLE, NO_LINK_FAULTS, RUNNER_ROLE, FaultSteps
 
-RECOVERY_PAUSE_US = 500_000  # clients come back to the proxies of a zone once these have started
+CLIENT_RETURN_DELAY_US = 500_000  # clients come back to the proxies of a zone once these have started
 SLOW_LINK_DELAY_S = 0.25
 
 
@@ -15,7 +15,7 @@
     zone = steps.choose_zone()
     replicas = [replica.name for replica in steps.plan.replicas if replica.zone == zone and replica.is_listed]
     if fault.variant is Variant.SILENT:
-        steps.silence_replicas(fault.at_us, replicas)
+        steps.blackhole_replicas(fault.at_us, replicas)
     else:
         steps.kill_replicas(fault.at_us, replicas)
     steps.restart_replicas(fault.end_us, replicas)
@@ -26,24 +26,24 @@
 def _lose_proxies_and_governors(steps: FaultSteps, zone: str) -> None:
     fault = steps.fault
     proxies = steps.proxies_of(zone)
-    steps.order(fault.at_us, f"relays-{zone}", "die", relays=proxies)
-    steps.order(fault.end_us, f"relays-{zone}", "start", relays=proxies)
-    steps.set_demand(fault.at_us, proxies, 0.0)
-    steps.set_demand(fault.end_us + RECOVERY_PAUSE_US, proxies, 1.0)
+    steps.add_command(fault.at_us, f"relays-{zone}", "die", relays=proxies)
+    steps.add_command(fault.end_us, f"relays-{zone}", "start", relays=proxies)
+    steps.scale_requests(fault.at_us, proxies, 0.0)
+    steps.scale_requests(fault.end_us + CLIENT_RETURN_DELAY_US, proxies, 1.0)
     for governor, governor_zone, _ in steps.plan.governors:
         if governor_zone == zone:
-            steps.order(fault.at_us, RUNNER_ROLE, "kill", governor=governor)
-            steps.order(fault.end_us, RUNNER_ROLE, "start", governor=governor)
+            steps.add_command(fault.at_us, RUNNER_ROLE, "kill", governor=governor)
+            steps.add_command(fault.end_us, RUNNER_ROLE, "start", governor=governor)
 
 
 def partition_zone(steps: FaultSteps) -> None:
     """No link between a zone and the others carries anything."""
     zone = steps.choose_zone()
-    steps.injure_links(steps.fault.at_us, SWALLOWING, across=zone)
-    steps.injure_links(steps.fault.end_us, REPAIRED, across=zone)
+    steps.inject_link_faults(steps.fault.at_us, BLACKHOLE, across=zone)
+    steps.inject_link_faults(steps.fault.end_us, NO_LINK_FAULTS, across=zone)
 
 
-def impair_one_zone(steps: FaultSteps) -> None:
+def impair_zone_links(steps: FaultSteps) -> None:
     """The links from one zone to some replicas are bad, while these serve the other zones as usual."""
     fault = steps.fault
     zone = steps.choose_zone()
@@ -51,10 +51,10 @@
     replicas = [replica.name for replica in steps.random.sample(steps.plan.replicas, count)]
     match fault.variant:
         case Variant.DELAY:
-            injury = {"delay": SLOW_LINK_DELAY_S}
+            link_faults = {"delay": SLOW_LINK_DELAY_S}
         case Variant.LOSE:
-            injury = {"lose": fault.magnitude}
+            link_faults = {"lose": fault.magnitude}
         case _:
-            injury = {"reset": fault.magnitude}
-    steps.injure_links(fault.at_us, injury, zones=[zone], targets=replicas)
-    steps.injure_links(fault.end_us, REPAIRED, zones=[zone], targets=replicas)
+            link_faults = {"reset": fault.magnitude}
+    steps.inject_link_faults(fault.at_us, link_faults, zones=[zone], targets=replicas)
+    steps.inject_link_faults(fault.end_us, NO_LINK_FAULTS, zones=[zone], targets=replicas)
--- a/gradehoist/scenario/faults/replica.py
+++ b/gradehoist/scenario/faults/replica.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from gradehoist.scenario.faults.fault import Variant
-from gradehoist.scenario.faults.steps import CLIENTS_ROLE, REFUSING, SWALLOWING, FaultSteps
+from gradehoist.scenario.faults.steps import BLACKHOLE, CLIENTS_ROLE, REFUSE_CONNECTIONS, FaultSteps
 
 SECOND_US = 1_000_000
 RAMP_STEPS = 4  # orders in which the traffic falls
 AGEING_STEPS = 8  # orders in which replicas become slower
-NEIGHBOUR_PERIOD_SPREAD = (0.5, 1.5)  # a neighbour's load comes and goes without a fixed period
+NEIGHBOUR_PERIOD_FACTORS = (0.5, 1.5)  # a neighbour's load comes and goes without a fixed period
 
 
 def crash(steps: FaultSteps) -> None:
@@ -18,28 +18,28 @@
     steps.restart_replicas(steps.fault.end_us, replicas)
 
 
-def vanish(steps: FaultSteps) -> None:
+def fail_silently(steps: FaultSteps) -> None:
     """Replicas fall silent; the endpoint list notices only a fault that lasts longer than its delay."""
     replicas = steps.choose_replicas()
     if steps.fault.duration_us > steps.delays.silent_us:
-        steps.silence_replicas(steps.fault.at_us, replicas)
+        steps.blackhole_replicas(steps.fault.at_us, replicas)
     else:
-        steps.stop_replicas(steps.fault.at_us, replicas, SWALLOWING)
+        steps.stop_replicas(steps.fault.at_us, replicas, BLACKHOLE)
     steps.restart_replicas(steps.fault.end_us, replicas)
 
 
 def slow_down(steps: FaultSteps) -> None:
     """Replicas are slower by the magnitude."""
     replicas = steps.choose_replicas()
-    steps.order_replicas(steps.fault.at_us, "slow", replicas, steps.fault.magnitude)
-    steps.order_replicas(steps.fault.end_us, "slow", replicas, 1.0)
+    steps.add_replica_commands(steps.fault.at_us, "slow", replicas, steps.fault.magnitude)
+    steps.add_replica_commands(steps.fault.end_us, "slow", replicas, 1.0)
 
 
 def hang(steps: FaultSteps) -> None:
     """Replicas accept attempts and do no work."""
     replicas = steps.choose_replicas()
-    steps.order_replicas(steps.fault.at_us, "hang", replicas, True)
-    steps.order_replicas(steps.fault.end_us, "hang", replicas, False)
+    steps.add_replica_commands(steps.fault.at_us, "hang", replicas, True)
+    steps.add_replica_commands(steps.fault.end_us, "hang", replicas, False)
 
 
 def add_noisy_neighbour(steps: FaultSteps) -> None:
@@ -48,10 +48,10 @@
     at_us = steps.fault.at_us
     is_busy = True
     while at_us < steps.fault.end_us:
-        steps.order_replicas(at_us, "taken", replicas, steps.fault.magnitude if is_busy else 0.0)
-        at_us += int(steps.fault.extra_us * steps.random.uniform(*NEIGHBOUR_PERIOD_SPREAD))
+        steps.add_replica_commands(at_us, "taken", replicas, steps.fault.magnitude if is_busy else 0.0)
+        at_us += int(steps.fault.extra_us * steps.random.uniform(*NEIGHBOUR_PERIOD_FACTORS))
         is_busy = not is_busy
-    steps.order_replicas(steps.fault.end_us, "taken", replicas, 0.0)
+    steps.add_replica_commands(steps.fault.end_us, "taken", replicas, 0.0)
 
 
 def shrink_fleet(steps: FaultSteps) -> None:
@@ -62,7 +62,7 @@
     for number in range(RAMP_STEPS + 1):
         at_us = fault.at_us + number * fault.duration_us // RAMP_STEPS
         factor = 1 + (final_factor - 1) * number / RAMP_STEPS
-        steps.order(at_us, CLIENTS_ROLE, "whole", value=factor)
+        steps.add_command(at_us, CLIENTS_ROLE, "whole", value=factor)
     for number, replica in enumerate(replicas, 1):
         steps.drain_replicas(fault.at_us + number * fault.duration_us // len(replicas), [replica])
 
@@ -90,29 +90,29 @@
     """Replicas are slower and report only a share of their load: `extra_us` as a share of a second."""
     fault = steps.fault
     replicas = steps.choose_replicas()
-    steps.order_replicas(fault.at_us, "slow", replicas, fault.magnitude)
-    steps.order_replicas(fault.at_us, "shown", replicas, fault.extra_us / SECOND_US)
-    steps.order_replicas(fault.end_us, "slow", replicas, 1.0)
-    steps.order_replicas(fault.end_us, "shown", replicas, 1.0)
+    steps.add_replica_commands(fault.at_us, "slow", replicas, fault.magnitude)
+    steps.add_replica_commands(fault.at_us, "shown", replicas, fault.extra_us / SECOND_US)
+    steps.add_replica_commands(fault.end_us, "slow", replicas, 1.0)
+    steps.add_replica_commands(fault.end_us, "shown", replicas, 1.0)
 
 
 def restart_many(steps: FaultSteps) -> None:
     """Replicas restart at once; unlisted: too quickly for the endpoint list to show them as gone."""
     replicas = steps.choose_replicas()
     if steps.fault.variant is Variant.UNLISTED:
-        steps.stop_replicas(steps.fault.at_us, replicas, REFUSING)
+        steps.stop_replicas(steps.fault.at_us, replicas, REFUSE_CONNECTIONS)
     else:
         steps.kill_replicas(steps.fault.at_us, replicas)
     steps.restart_replicas(steps.fault.end_us, replicas)
 
 
-def age(steps: FaultSteps) -> None:
+def degrade_until_crash(steps: FaultSteps) -> None:
     """Replicas become slower, up to the magnitude, then end; they start again `extra_us` later."""
     fault = steps.fault
     replicas = steps.choose_replicas()
     for number in range(1, AGEING_STEPS + 1):
         at_us = fault.at_us + number * fault.duration_us // AGEING_STEPS
         slowdown = 1 + (fault.magnitude - 1) * number / AGEING_STEPS
-        steps.order_replicas(at_us, "slow", replicas, slowdown)
+        steps.add_replica_commands(at_us, "slow", replicas, slowdown)
     steps.kill_replicas(fault.end_us, replicas)
     steps.restart_replicas(fault.end_us + fault.extra_us, replicas)
--- a/gradehoist/scenario/faults/steps.py
+++ b/gradehoist/scenario/faults/steps.py
@@ -14,9 +14,9 @@
 LINKS_ROLE = "links"
 ENDPOINT_LIST_ROLE = "roster"
 
-REPAIRED: dict[str, Any] = {}  # the injury of a link that works as usual
-SWALLOWING = {"hole": True}  # connections stay open and carry nothing
-REFUSING = {"refuse": True}
+NO_LINK_FAULTS: dict[str, Any] = {}  # the injury of a link that works as usual
+BLACKHOLE = {"hole": True}  # connections stay open and carry nothing
+REFUSE_CONNECTIONS = {"refuse": True}
 
 
 class FaultSteps:
@@ -35,7 +35,9 @@
 
     def choose_replicas(self) -> list[str]:
         """Draws the share of the listed replicas that fit the fault, at least one."""
-        candidates = [replica for replica in self.plan.replicas if replica.is_listed and self._fits(replica)]
+        candidates = [
+            replica for replica in self.plan.replicas if replica.is_listed and self._is_candidate(replica)
+        ]
         count = max(1, round(self.fault.affected_share * len(candidates)))
         chosen = self.random.sample(candidates, min(count, len(candidates)))
         return [replica.name for replica in chosen]
@@ -59,30 +61,30 @@
         """All governors."""
         return [name for name, _, _ in self.plan.governors]
 
-    def _fits(self, replica: ReplicaPlan) -> bool:
+    def _is_candidate(self, replica: ReplicaPlan) -> bool:
         if self.fault.zone and replica.zone != self.fault.zone:
             return False
         return not self.fault.replica_kind or replica.kind == self.fault.replica_kind
 
     # Orders
 
-    def order(self, at_us: int, role: str, name: str, **fields: Any) -> None:
+    def add_command(self, at_us: int, role: str, name: str, **fields: Any) -> None:
         """Orders something of the process of a role."""
         self.steps.append(Step(at_us=at_us, role=role, command={"do": name, **fields}))
 
-    def order_replicas(self, at_us: int, name: str, replicas: Iterable[str], value: Any = None) -> None:
+    def add_replica_commands(self, at_us: int, name: str, replicas: Iterable[str], value: Any = None) -> None:
         """Orders something of replicas, through the processes of their zones."""
         by_zone: dict[str, list[str]] = {}
         for replica in replicas:
             by_zone.setdefault(self._zone_by_replica[replica], []).append(replica)
         for zone, in_zone in by_zone.items():
-            self.order(at_us, f"replicas-{zone}", name, replicas=in_zone, value=value)
+            self.add_command(at_us, f"replicas-{zone}", name, replicas=in_zone, value=value)
 
-    def list_replicas(
+    def set_listed_phase(
         self, at_us: int, replicas: list[str], phase: str, *, restarted: bool = False, ago_us: int = 0
     ) -> None:
         """Has the endpoint list show a phase, and where they restarted, how long ago that was."""
-        self.order(
+        self.add_command(
             at_us,
             ENDPOINT_LIST_ROLE,
             "list",
@@ -92,40 +94,40 @@
             ago=ago_us,
         )
 
-    def injure_links(self, at_us: int, injury: dict[str, Any], **links: Any) -> None:
+    def inject_link_faults(self, at_us: int, link_faults: dict[str, Any], **links: Any) -> None:
         """Changes how the chosen links carry bytes; `REPAIRED` ends an injury."""
-        self.order(at_us, LINKS_ROLE, "injure", harm=injury, **links)
+        self.add_command(at_us, LINKS_ROLE, "injure", harm=link_faults, **links)
 
-    def set_demand(self, at_us: int, proxies: list[str], factor: float) -> None:
+    def scale_requests(self, at_us: int, proxies: list[str], factor: float) -> None:
         """Multiplies the requests to some proxies."""
-        self.order(at_us, CLIENTS_ROLE, "factor", relays=proxies, value=factor)
+        self.add_command(at_us, CLIENTS_ROLE, "factor", relays=proxies, value=factor)
 
     # What several kinds do
 
     def kill_replicas(self, at_us: int, replicas: list[str]) -> None:
         """Ends the processes of replicas; the endpoint list shows it late."""
-        self.stop_replicas(at_us, replicas, REFUSING)
-        self.list_replicas(at_us + self.delays.ended_us, replicas, "gone")
+        self.stop_replicas(at_us, replicas, REFUSE_CONNECTIONS)
+        self.set_listed_phase(at_us + self.delays.ended_us, replicas, "gone")
 
-    def silence_replicas(self, at_us: int, replicas: list[str]) -> None:
+    def blackhole_replicas(self, at_us: int, replicas: list[str]) -> None:
         """Lets replicas fall silent together with their machines; the endpoint list shows it later still."""
-        self.stop_replicas(at_us, replicas, SWALLOWING)
-        self.list_replicas(at_us + self.delays.silent_us, replicas, "gone")
+        self.stop_replicas(at_us, replicas, BLACKHOLE)
+        self.set_listed_phase(at_us + self.delays.silent_us, replicas, "gone")
 
-    def stop_replicas(self, at_us: int, replicas: list[str], injury: dict[str, Any]) -> None:
+    def stop_replicas(self, at_us: int, replicas: list[str], link_faults: dict[str, Any]) -> None:
         """Ends the processes of replicas without the endpoint list's knowledge."""
-        self.injure_links(at_us, injury, targets=replicas)
-        self.order_replicas(at_us, "die", replicas)
+        self.inject_link_faults(at_us, link_faults, targets=replicas)
+        self.add_replica_commands(at_us, "die", replicas)
 
     def drain_replicas(self, at_us: int, replicas: list[str]) -> None:
         """Lists replicas as draining and ends their processes `extra_us` later."""
         listed_us = at_us + self.delays.added_us
-        self.list_replicas(listed_us, replicas, "draining")
+        self.set_listed_phase(listed_us, replicas, "draining")
         self.kill_replicas(listed_us + self.fault.extra_us, replicas)
 
     def restart_replicas(self, at_us: int, replicas: list[str]) -> None:
         """Starts replicas, which then warm up."""
-        self.order_replicas(at_us, "start", replicas)
-        self.injure_links(at_us, REPAIRED, targets=replicas)
+        self.add_replica_commands(at_us, "start", replicas)
+        self.inject_link_faults(at_us, NO_LINK_FAULTS, targets=replicas)
         added_us = self.delays.added_us
-        self.list_replicas(at_us + added_us, replicas, "ready", restarted=True, ago_us=added_us)
+        self.set_listed_phase(at_us + added_us, replicas, "ready", restarted=True, ago_us=added_us)
--- a/gradehoist/scenario/faults/traffic.py
+++ b/gradehoist/scenario/faults/traffic.py
@@ -6,15 +6,17 @@
 
 SECOND_US = 1_000_000
 SHIFT_STEPS = 4  # orders in which the traffic moves
-LEAST_SHARE = 1e-6  # of the traffic; divided by
+MIN_TRAFFIC_SHARE = 1e-6  # of the traffic; divided by
 
 
 def overload_few_proxies(steps: FaultSteps) -> None:
     """A few proxies get `magnitude` times the whole traffic on top of their own."""
     proxies = steps.choose_proxies()
     share = sum(proxy.traffic_share for proxy in steps.plan.proxies if proxy.name in proxies)
-    steps.set_demand(steps.fault.at_us, proxies, 1 + steps.fault.magnitude / max(share, LEAST_SHARE))
-    steps.set_demand(steps.fault.end_us, proxies, 1.0)
+    steps.scale_requests(
+        steps.fault.at_us, proxies, 1 + steps.fault.magnitude / max(share, MIN_TRAFFIC_SHARE)
+    )
+    steps.scale_requests(steps.fault.end_us, proxies, 1.0)
 
 
 def shift_traffic(steps: FaultSteps) -> None:
@@ -28,16 +30,16 @@
     for number in range(1, SHIFT_STEPS + 1):
         new_share = share + growth * number / SHIFT_STEPS
         at_us = fault.at_us + number * fault.duration_us // SHIFT_STEPS
-        steps.set_demand(at_us, proxies, new_share / share)
-        steps.set_demand(at_us, other_proxies, (1 - new_share) / (1 - share))
+        steps.scale_requests(at_us, proxies, new_share / share)
+        steps.scale_requests(at_us, other_proxies, (1 - new_share) / (1 - share))
 
 
 def flood_tenant(steps: FaultSteps) -> None:
     """The tenant with the median share sends `magnitude` times its requests."""
     by_share = sorted(steps.plan.tenant_shares, key=lambda tenant: tenant[1])
     name, _ = by_share[len(by_share) // 2]
-    steps.order(steps.fault.at_us, CLIENTS_ROLE, "louder", tenant=name, value=steps.fault.magnitude)
-    steps.order(steps.fault.end_us, CLIENTS_ROLE, "louder", tenant=name, value=1.0)
+    steps.add_command(steps.fault.at_us, CLIENTS_ROLE, "louder", tenant=name, value=steps.fault.magnitude)
+    steps.add_command(steps.fault.end_us, CLIENTS_ROLE, "louder", tenant=name, value=1.0)
 
 
 def migrate_tenants(steps: FaultSteps) -> None:
@@ -48,13 +50,13 @@
     candidates = sorted(tenant for tenant, cell in steps.plan.cell_by_tenant.items() if cell == source)
     count = max(1, round(steps.fault.affected_share * len(candidates)))
     tenants = steps.random.sample(candidates, count)
-    steps.order(steps.fault.at_us, RUNNER_ROLE, "move", governor="", tenants=tenants, to=target)
+    steps.add_command(steps.fault.at_us, RUNNER_ROLE, "move", governor="", tenants=tenants, to=target)
 
 
 def roll_out_version(steps: FaultSteps) -> None:
     """A staged rollout, cell by cell, of a version that fails some of its work and is slower for the rest."""
     fault = steps.fault
-    steps.order(
+    steps.add_command(
         fault.at_us,
         RUNNER_ROLE,
         "release",
--- a/gradehoist/scenario/free_ports.py
+++ b/gradehoist/scenario/free_ports.py
@@ -10,12 +10,12 @@
 # was another run's connection when its process came to listen.
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
-LAST_FIRST_PORT = 30_000  # the search begins at random up to here
+MAX_START_PORT = 30_000  # the search begins at random up to here
 
 
 def find_free_ports(count: int) -> list[int]:
     """Finds free loopback ports, held together while they are found so that none is found twice."""
-    port = random.SystemRandom().randrange(FIRST_PORT, LAST_FIRST_PORT)
+    port = random.SystemRandom().randrange(FIRST_PORT, MAX_START_PORT)
     ports: list[int] = []
     with ExitStack() as stack:
         while len(ports) < count:
--- a/gradehoist/scenario/plan_builder.py
+++ b/gradehoist/scenario/plan_builder.py
@@ -30,8 +30,8 @@
 )
 
 REPLICAS_PER_CELL = 4  # of the cells that an endpoint list names; the cells of tenants are others
-SPEED_SPREAD = (0.85, 1.15)  # machines of one kind differ so much
-SIZE_ERROR = (0.9, 1.1)  # the endpoint list's size of a replica is wrong so much
+SPEED_FACTORS = (0.85, 1.15)  # machines of one kind differ so much
+SIZE_ERROR_FACTORS = (0.9, 1.1)  # the endpoint list's size of a replica is wrong so much
 MIN_REPLICAS_PER_CELL = 2
 MIN_ZONES_PER_CELL = 2
 
@@ -57,8 +57,8 @@
         even_weights: whether the default tables hold every replica with the same weight.
     """
     random = create_random(seed, "fleet")
-    replicas = _draw_replicas(scenario, random)
-    proxies = _draw_proxies(scenario, random)
+    replicas = _generate_replicas(scenario, random)
+    proxies = _generate_proxies(scenario, random)
     roles = list_roles(scenario)
     ports = iter(find_free_ports(count_ports(scenario, replicas, proxies, roles)))
     replicas = [msgspec.structs.replace(replica, port=next(ports)) for replica in replicas]
@@ -71,7 +71,7 @@
     control_ports = {role: next(ports) for role in roles}
     classes = _build_classes(scenario)
     rate = scenario.traffic.load * _capacity_requests_per_s(replicas, classes)
-    tenants = _draw_tenants(scenario, random)
+    tenants = _generate_tenants(scenario, random)
     cells = _place_cells(scenario, replicas, tenants)
     replica_behaviour = scenario.replica_behaviour
     client_behaviour = scenario.client_behaviour
@@ -107,8 +107,8 @@
         poll_hold_us=fleet.poll_hold_us,
         replica_report_period_us=replica_behaviour.report_period_us,
         handshake_work_ms=replica_behaviour.handshake_work_ms,
-        drops_abandoned_requests=replica_behaviour.drops_waiting,
-        rejection_proves_no_effect=replica_behaviour.full_is_proof,
+        drops_abandoned_requests=replica_behaviour.drops_abandoned_requests,
+        rejection_proves_no_effect=replica_behaviour.rejection_proves_no_effect,
         follow_governors=follow_governors,
         tenant_shares=tenants,
         cells=cells.names,
@@ -134,12 +134,12 @@
     )
 
 
-def _draw_replicas(scenario: Scenario, random: Random) -> list[ReplicaPlan]:
+def _generate_replicas(scenario: Scenario, random: Random) -> list[ReplicaPlan]:
     behaviour = scenario.replica_behaviour
     replicas: list[ReplicaPlan] = []
     for group in scenario.replica_groups:
         for number_in_group in range(group.count + group.spare):
-            speed = group.speed * random.uniform(*SPEED_SPREAD)
+            speed = group.speed * random.uniform(*SPEED_FACTORS)
             replica = ReplicaPlan(
                 name=f"w{len(replicas) + 1}",
                 zone=group.zone,
@@ -150,7 +150,7 @@
                 speed=round(speed, 4),
                 slots=int(behaviour.slots_per_core * group.cores),
                 queue_limit=int(behaviour.queue_per_core * group.cores),
-                size=round(group.cores * speed * random.uniform(*SIZE_ERROR), 3),
+                size=round(group.cores * speed * random.uniform(*SIZE_ERROR_FACTORS), 3),
                 start_capacity=behaviour.start_capacity,
                 warmup_us=behaviour.warmup_us,
                 is_listed=number_in_group < group.count,
@@ -159,7 +159,7 @@
     return replicas
 
 
-def _draw_proxies(scenario: Scenario, random: Random) -> list[ProxyPlan]:
+def _generate_proxies(scenario: Scenario, random: Random) -> list[ProxyPlan]:
     zones = [group.zone for group in scenario.proxy_groups for _ in range(group.count)]
     weights = [random.lognormvariate(0, scenario.traffic.skew) for _ in zones]
     total = sum(weights)
@@ -218,7 +218,7 @@
     )
 
 
-def _draw_tenants(scenario: Scenario, random: Random) -> tuple[tuple[str, float], ...]:
+def _generate_tenants(scenario: Scenario, random: Random) -> tuple[tuple[str, float], ...]:
     """Names of tenants and their shares of the traffic."""
     weights = [random.lognormvariate(0, scenario.tenants.skew) for _ in range(scenario.tenants.count)]
     total = sum(weights)
--- a/gradehoist/scenario/processes.py
+++ b/gradehoist/scenario/processes.py
@@ -13,12 +13,12 @@
 
 HOST = "127.0.0.1"
 START_TIMEOUT_S = 20.0  # the start of Python on a loaded machine
-END_TIMEOUT_S = 5.0  # then a process that does not heed SIGTERM is killed
+STOP_TIMEOUT_S = 5.0  # then a process that does not heed SIGTERM is killed
 PING_TIMEOUT_S = 1.0
 PING_INTERVAL_S = 0.05
 LOG_LINES_IN_ERROR = 3
 # Clients and proxies end first, so that nothing is sent to processes that have ended.
-END_ORDER = ("clients", "relays", "mover", "release", "governor", "replicas", "roster", "links")
+STOP_ORDER = ("clients", "relays", "mover", "release", "governor", "replicas", "roster", "links")
 # Commands that end by themselves, and the exit codes that are no failure: a rollout that halts exits with 1.
 EXPECTED_EXIT_CODES = {"mover": (0,), "release": (0, 1)}
 
@@ -50,7 +50,7 @@
             while True:
                 has_ended = self._processes[name].poll() is not None
                 if has_ended or asyncio.get_running_loop().time() > deadline_s:
-                    raise ProcessStartError(name, self._end_of_log(name))
+                    raise ProcessStartError(name, self._read_log_tail(name))
                 if await _is_responding(client, method, target, body):
                     return
                 await asyncio.sleep(PING_INTERVAL_S)
@@ -74,19 +74,19 @@
         process.kill()
         process.wait()
 
-    def end_all(self) -> None:
+    def stop_all(self) -> None:
         """Ends every process in order, and kills those that take too long."""
-        for name in sorted(self._processes, key=_end_rank):
+        for name in sorted(self._processes, key=_stop_rank):
             process = self._processes[name]
             if process.poll() is None:
                 process.send_signal(signal.SIGTERM)
             try:
-                process.wait(END_TIMEOUT_S)
+                process.wait(STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
 
-    def _end_of_log(self, name: str) -> str:
+    def _read_log_tail(self, name: str) -> str:
         lines = self._folder.log(name).read_text(errors="replace").strip().splitlines()
         return " | ".join(lines[-LOG_LINES_IN_ERROR:]) or "it said nothing"
 
@@ -99,8 +99,8 @@
     return response.status < 300
 
 
-def _end_rank(name: str) -> int:
-    for rank, prefix in enumerate(END_ORDER):
+def _stop_rank(name: str) -> int:
+    for rank, prefix in enumerate(STOP_ORDER):
         if name.startswith(prefix):
             return rank
-    return len(END_ORDER)
+    return len(STOP_ORDER)
--- a/gradehoist/scenario/report.py
+++ b/gradehoist/scenario/report.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from gradehoist.scenario.charts import CHARTS
-from gradehoist.scenario.checks.records import Record, StepTaken, find_begin_us, load_records
+from gradehoist.scenario.checks.records import Record, StepExecuted, find_begin_us, load_records
 from gradehoist.scenario.checks.verdict import Verdict
 from gradehoist.scenario.counts import RunCounts, count_events
 from gradehoist.testbed.scenario_plan import Plan
@@ -113,8 +113,8 @@
 def _format_steps(records: list[Record], begin_us: int) -> str:
     rows = []
     for record in records:
-        if isinstance(record.event, StepTaken):
-            order = html.escape(msgspec.json.encode(record.event.order).decode())[:ORDER_LENGTH]
+        if isinstance(record.event, StepExecuted):
+            order = html.escape(msgspec.json.encode(record.event.command).decode())[:ORDER_LENGTH]
             row = (
                 f"<tr><td>{(record.time_us - begin_us) / 1e6:.1f}</td>"
                 f"<td>{html.escape(record.event.target)}</td><td><code>{order}</code></td></tr>"
--- a/gradehoist/scenario/runner.py
+++ b/gradehoist/scenario/runner.py
@@ -17,7 +17,7 @@
 from gradehoist.scenario.checks.run_check import check_records
 from gradehoist.scenario.checks.verdict import Verdict
 from gradehoist.scenario.definition import Scenario
-from gradehoist.scenario.errors import OrderRejectedError
+from gradehoist.scenario.errors import CommandRejectedError
 from gradehoist.scenario.faults.steps import CLIENTS_ROLE, RUNNER_ROLE
 from gradehoist.scenario.processes import HOST, ProcessGroup
 from gradehoist.scenario.run_folder import RunFolder
@@ -27,11 +27,11 @@
 PROXY_PREFIX = "relays-"
 # Started before the governors, which watch them.
 FIRST_ROLES = ("links", "replicas", "roster")
-SETTLE_US = 1_500_000  # after the last deadline: load reports and records arrive
-JOIN_PAUSE_S = 1.0  # proxies begin their streams before the first request comes
+SETTLING_TIME_US = 1_500_000  # after the last deadline: load reports and records arrive
+STREAM_START_PAUSE_S = 1.0  # proxies begin their streams before the first request comes
 STEP_INTERVAL_S = 0.1  # the longest pause between two looks at processes and steps
-ORDER_TIMEOUT_S = 5.0
-ORDER_ACCEPTED = 204
+COMMAND_TIMEOUT_S = 5.0
+COMMAND_ACCEPTED_STATUS = 204
 
 
 @dataclass(frozen=True)
@@ -71,7 +71,7 @@
         self.folder = RunFolder(folder)
         self.stop = asyncio.Event()
         self._on_progress = on_progress
-        self._checker = _PeriodicCheck(plan, folder, check_interval_s)
+        self._checker = _PeriodicChecker(plan, folder, check_interval_s)
         self._processes = ProcessGroup(self.folder)
 
     async def execute(self) -> bool:
@@ -87,12 +87,12 @@
             await self._start_processes()
             begin_us = read_monotonic_us()
             record("day_begins", scene=self.plan.name, seed=self.plan.seed)
-            await self._take_step(Step(at_us=0, role=CLIENTS_ROLE, command={"do": "begin"}), record)
-            return await self._play_steps(begin_us, record)
+            await self._execute_step(Step(at_us=0, role=CLIENTS_ROLE, command={"do": "begin"}), record)
+            return await self._execute_steps(begin_us, record)
         finally:
             self._checker.close()
             record.flush()
-            self._processes.end_all()
+            self._processes.stop_all()
             record("ended")
             record.flush()
 
@@ -107,7 +107,7 @@
             if role.startswith(PROXY_PREFIX):
                 self._start_test_double(role)
                 await self._wait_for_test_double(role)
-        await asyncio.sleep(JOIN_PAUSE_S)
+        await asyncio.sleep(STREAM_START_PAUSE_S)
         self._start_test_double(CLIENTS_ROLE)
         await self._wait_for_test_double(CLIENTS_ROLE)
 
@@ -130,16 +130,16 @@
         process = _governor_process(name)
         self._processes.start(process, "gradehoist", "governor", settings, "--name", name, "--log", "json")
 
-    async def _play_steps(self, begin_us: int, record: EventRecorder) -> bool:
+    async def _execute_steps(self, begin_us: int, record: EventRecorder) -> bool:
         last_deadline_us = max(request_class.deadline_us for request_class in self.plan.classes)
-        end_us = self.plan.length_us + last_deadline_us + SETTLE_US
+        end_us = self.plan.length_us + last_deadline_us + SETTLING_TIME_US
         steps = deque(self.plan.steps)
         last_step = "begins"
         while not self.stop.is_set():
             elapsed_us = read_monotonic_us() - begin_us
             while steps and steps[0].at_us <= elapsed_us:
                 step = steps.popleft()
-                await self._take_step(step, record)
+                await self._execute_step(step, record)
                 last_step = _describe_step(step)
             if elapsed_us >= end_us:
                 return True
@@ -154,32 +154,32 @@
             await asyncio.sleep(pause_s)
         return False
 
-    async def _take_step(self, step: Step, record: EventRecorder) -> None:
+    async def _execute_step(self, step: Step, record: EventRecorder) -> None:
         record("step", at=step.at_us, target=step.role, do=step.command)
         record.flush()
         if step.role != RUNNER_ROLE:
-            await self._send_order(step)
+            await self._send_command(step)
         elif self.plan.follow_governors:
-            self._carry_out(step.command, record)
+            self._execute_runner_command(step.command, record)
 
-    async def _send_order(self, step: Step) -> None:
+    async def _send_command(self, step: Step) -> None:
         client = HttpClient(HOST, self.plan.control_ports[step.role])
         try:
             body = msgspec.json.encode(step.command)
-            response = await client.request("POST", "/", body, timeout_s=ORDER_TIMEOUT_S)
+            response = await client.request("POST", "/", body, timeout_s=COMMAND_TIMEOUT_S)
         finally:
             client.close()
-        if response.status != ORDER_ACCEPTED:
-            raise OrderRejectedError(step.role, step.command, response.body.decode(errors="replace"))
+        if response.status != COMMAND_ACCEPTED_STATUS:
+            raise CommandRejectedError(step.role, step.command, response.body.decode(errors="replace"))
 
-    def _carry_out(self, order: dict[str, object], record: EventRecorder) -> None:
+    def _execute_runner_command(self, command: dict[str, object], record: EventRecorder) -> None:
         """Carries out an order to the runner itself."""
-        governor = str(order["governor"])
-        match order["do"]:
+        governor = str(command["governor"])
+        match command["do"]:
             case "move":
-                self._start_migration(order)
+                self._start_migration(command)
             case "release":
-                self._start_rollout(order)
+                self._start_rollout(command)
             case "kill":
                 self._processes.kill(_governor_process(governor))
                 record("killed", governor=governor)
@@ -187,19 +187,19 @@
                 self._start_governor(governor)
                 record("started", governor=governor)
 
-    def _start_migration(self, order: dict[str, object]) -> None:
-        tenants = msgspec.convert(order["tenants"], list[str])
-        arguments = [*tenants, "--to", str(order["to"]), "--store", str(self.folder.migrations)]
+    def _start_migration(self, command: dict[str, object]) -> None:
+        tenants = msgspec.convert(command["tenants"], list[str])
+        arguments = [*tenants, "--to", str(command["to"]), "--store", str(self.folder.migrations)]
         self._processes.start("mover", "gradehoist", "cells", "move", str(self.folder.settings), *arguments)
 
-    def _start_rollout(self, order: dict[str, object]) -> None:
+    def _start_rollout(self, command: dict[str, object]) -> None:
         arguments = [
             "--run",
-            self._deploy_command(fails=order["fails"], slow=order["slow"]),
+            self._deploy_command(fails=command["fails"], slow=command["slow"]),
             "--back",
             self._deploy_command(fails=0.0, slow=1.0),
             "--soak",
-            str(order["soak"]),
+            str(command["soak"]),
             "--store",
             str(self.folder.migrations),
         ]
@@ -213,7 +213,7 @@
         return shlex.join([sys.executable, "-m", module, plan, "{worker}", str(fails), str(slow)])
 
 
-class _PeriodicCheck:
+class _PeriodicChecker:
     """Checks the records of a run in a thread, one check at a time."""
 
     def __init__(self, plan: Plan, folder: Path, interval_s: float) -> None:
--- a/tests/test_scenario_run.py
+++ b/tests/test_scenario_run.py
@@ -54,7 +54,7 @@
     processes.start("roster", "no_such_module")
     with pytest.raises(ProcessStartError, match="roster did not come up: .*no_such_module") as caught:
         asyncio.run(processes.wait_until_ready("roster", port, "POST", "/", b""))
-    processes.end_all()
+    processes.stop_all()
     assert caught.value.name == "roster"
 
 
