--- a/gradehoist/scenario/__init__.py
+++ b/gradehoist/scenario/__init__.py
@@ -1,5 +1,6 @@
 """Scenarios: scripted runs of a whole fleet on loopback sockets.
 
-`definition` reads a scenario, `faults` plans its injected faults, `plan_builder` draws the plan of a run,
-`runner` plays it with real processes, `checks` judges what these recorded, and `report` draws the result.
+`definition` describes a scenario, which `definition_reader` reads from a file. `faults` plans the faults to
+inject, `plan_builder` generates the plan of a run, and `runner` executes it with real processes. `checks`
+verifies the safety rules on the events that the processes recorded, and `report` presents the results.
 """
--- a/gradehoist/scenario/charts.py
+++ b/gradehoist/scenario/charts.py
@@ -1,4 +1,4 @@
-"""Charts of a run, drawn from its records."""
+"""Draws the charts of a run from its records."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 )
 from gradehoist.testbed.scenario_plan import Plan
 
-WINDOW_S = 5.0  # requests are grouped by the window in which they began
-WEIGHTS_INTERVAL_S = 0.25  # between two points of the weights
+WINDOW_S = 5.0  # Requests are grouped by the window in which they began.
+WEIGHTS_INTERVAL_S = 0.25  # The minimum time between two points of the chart of weights.
 DOTS_PER_INCH = 110
 COLOURS = ("tab:blue", "tab:orange", "tab:green", "tab:red", "tab:purple", "tab:brown")
-TIME_LABEL = "s into the day"
+TIME_LABEL = "time since the start, s"
 
 
 @dataclass
 class WindowCounts:
-    """Requests that began in a window, and those of them completed within their latency objective."""
+    """The number of requests that began in a window, and how many met their latency objective."""
 
     in_time: int = 0
     total: int = 0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class MeanWeights:
-    """Each replica's mean share of the proxies' weights at a time."""
+    """The share of each replica in the weights of a proxy, averaged over all proxies, at one time."""
 
     at_s: float
     share_by_replica: dict[str, float]
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, order=True)
 class QueueChange:
-    """Lines that were queued, or with a minus, sent."""
+    """The change of a queue's length at one time: positive for queued lines, negative for sent ones."""
 
     at_us: float
     lines: float
@@ -65,14 +65,14 @@
         shares = [100 * windows[number].in_time / windows[number].total for number in numbers]
         axes.plot([number * WINDOW_S for number in numbers], shares, marker="o", label=name)
     _mark_steps(axes, records, begin_us)
-    axes.set(ylim=(0, 103), xlabel=TIME_LABEL, ylabel="answered within goal, %")
+    axes.set(ylim=(0, 103), xlabel=TIME_LABEL, ylabel="completed within objective, %")
     axes.legend(loc="lower left", fontsize=8)
     figure.savefig(path, dpi=DOTS_PER_INCH)
     plt.close(figure)
 
 
 def _count_completed(plan: Plan, records: list[Record], begin_us: int) -> dict[str, dict[int, WindowCounts]]:
-    """Counts by class and number of the window."""
+    """Returns the counts by class and by the number of the window."""
     objectives_us = {request_class.name: request_class.latency_objective_us for request_class in plan.classes}
     counts: dict[str, dict[int, WindowCounts]] = defaultdict(lambda: defaultdict(WindowCounts))
     for record in records:
@@ -89,7 +89,7 @@
 
 
 def draw_weights(plan: Plan, records: list[Record], begin_us: int, path: Path) -> None:
-    """Draws each replica's mean share of the weights for the first class, over all proxies."""
+    """Draws the share of each replica in the weights for the first class, averaged over all proxies."""
     request_class = plan.classes[0].name
     points = _mean_weights(records, begin_us, request_class)
     times_s = [point.at_s for point in points]
@@ -101,7 +101,7 @@
     for number, zone in enumerate(plan.zones):
         axes.plot([], [], color=_colour(number), label=zone)
     _mark_steps(axes, records, begin_us)
-    axes.set(xlabel=TIME_LABEL, ylabel=f"share of the lines of {request_class}, %", ylim=(0, None))
+    axes.set(xlabel=TIME_LABEL, ylabel=f"share of the weights for {request_class}, %", ylim=(0, None))
     axes.legend(loc="upper left", fontsize=8)
     figure.savefig(path, dpi=DOTS_PER_INCH)
     plt.close(figure)
@@ -136,7 +136,10 @@
 
 
 def draw_channels(plan: Plan, records: list[Record], begin_us: int, path: Path) -> None:
-    """Draws the lines waiting in each governor's channel, replayed from the messages at the stated pace."""
+    """Draws the queue length of each governor's channel.
+
+    It is reconstructed from the recorded messages, assuming that the channel sends at its stated rate.
+    """
     by_epoch = _messages_by_epoch(records)
     governors = sorted({governor for governor, _ in by_epoch})
     figure, axes = plt.subplots(figsize=(9, 2.8), layout="constrained")
@@ -155,14 +158,14 @@
     limit = plan.rules.queue_limit_lines
     axes.axhline(limit, color="black", linestyle="--", linewidth=0.8, label="limit")
     _mark_steps(axes, records, begin_us)
-    axes.set(xlabel=TIME_LABEL, ylabel="lines waiting", ylim=(0, limit * 1.1))
+    axes.set(xlabel=TIME_LABEL, ylabel="queued lines", ylim=(0, limit * 1.1))
     axes.legend(loc="upper right", fontsize=8)
     figure.savefig(path, dpi=DOTS_PER_INCH)
     plt.close(figure)
 
 
 def _messages_by_epoch(records: list[Record]) -> dict[tuple[str, str], list[Message]]:
-    """The messages by governor and epoch, in the order of their creation, each once."""
+    """Returns the distinct messages of each governor and epoch, in the order of their creation."""
     unique: dict[tuple[str, str], dict[tuple[str, int, int], Message]] = defaultdict(dict)
     for record in records:
         event = record.event
@@ -185,7 +188,7 @@
 
 
 def _mark_steps(axes: Axes, records: list[Record], begin_us: int) -> None:
-    """Draws a line at each step of the plan; steps within 0.1 s are one."""
+    """Draws a vertical line at each step; times are rounded to 0.1 s, so that close steps share a line."""
     times_us = {
         round(record.time_us - begin_us, -5) for record in records if isinstance(record.event, StepExecuted)
     }
@@ -199,7 +202,7 @@
 
 @dataclass(frozen=True)
 class Chart:
-    """A chart of the report: its file, its title and what draws it."""
+    """A chart of the report: its file name, its title, and the function that draws it."""
 
     file_name: str
     title: str
@@ -207,7 +210,11 @@
 
 
 CHARTS = (
-    Chart("answered.png", "Answered within the latency goal, by class and 5 s", draw_completed),
-    Chart("weights.png", "Weights by replica, coloured by zone", draw_weights),
-    Chart("channel.png", "The channels' queues", draw_channels),
+    Chart(
+        "answered.png",
+        "Requests completed within their latency objective, by class, in windows of 5 s",
+        draw_completed,
+    ),
+    Chart("weights.png", "Share of the weights by replica, coloured by zone", draw_weights),
+    Chart("channel.png", "Queued lines in the governors' channels", draw_channels),
 )
--- a/gradehoist/scenario/counts.py
+++ b/gradehoist/scenario/counts.py
@@ -1,4 +1,4 @@
-"""Counts of a run that the report shows beside the verdict."""
+"""Event counts of a run, which the report shows with the verdict."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class RunCounts:
-    """How much of each there was; `feed_bytes` is the size of the responses with messages."""
+    """The numbers of events of a run; `feed_bytes` is the total size of the poll responses with messages."""
 
     requests: int
     attempts: int
@@ -28,7 +28,7 @@
 
 
 def count_events(records: Iterable[Record]) -> RunCounts:
-    """Counts the events of a run."""
+    """Counts the events of a run; a poll response with several messages adds its size for each of them."""
     events = [record.event for record in records]
     messages = [event for event in events if isinstance(event, MessageApplied)]
     response_bytes = {
--- a/gradehoist/scenario/definition.py
+++ b/gradehoist/scenario/definition.py
@@ -1,6 +1,6 @@
-"""What a scenario file says: the fleet as governors know it, the test doubles that play it, and the faults.
+"""The contents of a scenario file: the fleet, the behaviour of the test doubles, and the faults to inject.
 
-`definition_reader` reads it from KDL, `plan_builder` draws the plan of a run from it.
+`definition_reader` reads them from KDL, and `plan_builder` generates the plan of a run from them.
 """
 
 from __future__ import annotations
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaGroup:
-    """Replicas of one zone and kind; the spare ones are not listed until a fault has them take over."""
+    """Replicas of one zone and kind.
+
+    The `spare` replicas come on top of `count`. They are not in the endpoint list until a fault starts them.
+    """
 
     zone: str
     kind: str
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyGroup:
-    """Proxies of one zone."""
+    """The proxies of one zone."""
 
     zone: str
     count: int
@@ -33,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassLoad:
-    """A class's share of the requests, the mean work of one in ms at speed 1, and its variation."""
+    """The load of one class: its share of the requests, and the mean work of a request at speed 1."""
 
     share: float
     work_ms: float
@@ -42,7 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """`load` is the rate as a share of what the listed replicas can do; `skew` spreads it over proxies."""
+    """The traffic of a scenario.
+
+    Attributes:
+        load: the request rate as a share of the capacity of the listed replicas.
+        skew: the sigma of the lognormal distribution of the proxies' shares of the traffic.
+        loads: the load of each class.
+    """
 
     load: float
     skew: float
@@ -51,7 +60,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantMix:
-    """Tenants, how unevenly they share the traffic (lognormal), and the number of cells (0: no cells)."""
+    """The tenants of a scenario.
+
+    Attributes:
+        count: the number of tenants.
+        skew: the sigma of the lognormal distribution of the tenants' shares of the traffic.
+        cells: the number of cells, 0 if the tenants are not divided into cells.
+    """
 
     count: int
     skew: float
@@ -60,7 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimitMultiples:
-    """Rate limits at proxies, as multiples of the even share of a cell and of the mean share of a tenant."""
+    """The rate limits at each proxy, as multiples of the mean request rate of a cell and of a tenant there.
+
+    Attributes:
+        cell: the multiple for a cell.
+        tenant: the multiple for a tenant.
+        burst_s: how many seconds of the limit can be used at once.
+        tenant_in_flight: the limit on a tenant's concurrent requests, 0 for none.
+    """
 
     cell: float
     tenant: float
@@ -70,7 +92,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaBehaviour:
-    """How the replicas' test doubles behave; `handshake_work_ms` is the work for each new connection."""
+    """The behaviour of the replicas' test doubles.
+
+    Attributes:
+        slots_per_core: requests processed concurrently per core.
+        queue_per_core: requests queued per core before further ones are shed.
+        start_capacity: the share of its speed with which a replica begins its warm-up.
+        warmup_us: the duration of the warm-up.
+        report_period_us: the mean time between two load reports.
+        handshake_work_ms: the work for each new connection.
+        drops_abandoned_requests: whether a queued request is dropped after its proxy gave up.
+        rejection_proves_no_effect: whether a request that was shed is known to have had no effect.
+    """
 
     slots_per_core: float
     queue_per_core: float
@@ -84,7 +117,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientBehaviour:
-    """How the clients' test doubles behave."""
+    """The behaviour of the clients' test doubles.
+
+    Attributes:
+        retries: how often a client sends a request again.
+        attempt_share: the share of the deadline that an attempt may take.
+        backoff_us: the pause before a retry.
+    """
 
     retries: float
     attempt_share: float
@@ -93,7 +132,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyBehaviour:
-    """How the proxies' test doubles behave; the delays are drawn between two times."""
+    """The behaviour of the proxies' test doubles; their delays are sampled between a minimum and a maximum.
+
+    Attributes:
+        failures_to_avoid: the number of failures in a row after which a proxy avoids a replica; 0 for never.
+        avoid_us: how long it avoids the replica.
+        retry_policy: the retry policy that applies until a governor sets one.
+        attempt_factor: the multiple of the latency objective that an attempt may take.
+        default_table_size: the number of replicas in a default table.
+        reconnect_min_us: the minimum pause before a proxy connects to a governor again.
+        reconnect_max_us: the maximum of that pause.
+        report_delay_min_us: the minimum delay of a load report.
+        report_delay_max_us: the maximum of that delay.
+    """
 
     failures_to_avoid: float
     avoid_us: int
@@ -108,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A scenario file; `fleet_text` is its fleet node as KDL, for the settings of the governors."""
+    """The contents of a scenario file; `fleet_text` is its `fleet` node in KDL, for the governors."""
 
     name: str
     length_us: int
--- a/gradehoist/scenario/definition_reader.py
+++ b/gradehoist/scenario/definition_reader.py
@@ -1,6 +1,6 @@
-"""Reads scenario files in KDL, with every error at once.
+"""Reads scenario files in KDL and reports all errors of a file at once.
 
-Names of nodes and properties are those of the files and older than the names used here.
+The names of nodes and properties in the files are kept for compatibility and differ from those in the code.
 """
 
 from __future__ import annotations
@@ -30,25 +30,25 @@
 
 
 class OptionalNode:
-    """A node that a file may leave out: each of its properties then has its default."""
+    """A node that a file may omit; its properties then have their defaults."""
 
     def __init__(self, root: Node, name: str) -> None:
-        """Takes the node of that name, if there is one."""
+        """Looks up the child `name` of the root."""
         self.node = root.child(name)
 
     def get_duration_us(self, key: str, default: str) -> int:
-        """A duration in µs; the default is written as in a file."""
+        """Returns a duration in µs; `default` is written as in a file, such as "5s"."""
         default_us = reader.parse_duration_us(default)
         if self.node is None:
             return default_us
         return self.node.get(key, reader.parse_duration_us, default_us)
 
     def get_boolean(self, key: str, default: bool) -> bool:
-        """True or false."""
+        """Returns a Boolean value."""
         return default if self.node is None else self.node.get(key, reader.parse_boolean, default)
 
     def get_number(self, key: str, default: float) -> float:
-        """A number that is not negative."""
+        """Returns a number that is not negative."""
         if self.node is None:
             return float(default)
         return self.node.get(key, reader.number_parser(0, 1e9), float(default))
@@ -60,17 +60,16 @@
 
 
 def read_scenario(path: Path) -> Scenario:
-    """Reads a scenario file and the file that it is based on, if it names one.
+    """Reads a scenario file and the base file that it names, if any.
 
     Raises:
-        SettingsError: with every error that was found.
+        SettingsError: a file can't be read or is invalid; it contains all errors.
     """
     document, root = reader.load_document(path)
     files = [path]
-    if base := root.child(
-        "base"
-    ):  # what several scenarios share: fleet, governors, replicas, proxies, traffic
-        base_path = path.parent / base.get_name("a file beside this one")
+    # The base file contains what several scenarios share: fleet, governors, replicas, proxies and traffic.
+    if base := root.child("base"):
+        base_path = path.parent / base.get_name("a path relative to this file")
         base_document, base_root = reader.load_document(base_path)
         base_document.errors = document.errors
         root.children += base_root.children
@@ -154,7 +153,7 @@
     for class_node in node.children_named("of"):
         name = class_node.get_name("a class name")
         if name not in known_classes:
-            class_node.add_error("a class that the fleet does not name", "name one of its classes")
+            class_node.add_error("class not defined in the fleet", "use a class of the fleet")
         loads[name] = ClassLoad(
             share=class_node.get("share", reader.number_parser(0, 1)),
             work_ms=class_node.get("work", reader.number_parser(0.1, 1e5)),
@@ -163,7 +162,9 @@
         class_node.reject_unread(expected_args=1)
     for name in known_classes:
         if name not in loads:
-            node.add_error(f"no share for class {name}", f'add of "{name}" share=… work=…', "of")
+            node.add_error(
+                f"no traffic share for class {name}", f'add a node of "{name}" share=… work=…', "of"
+            )
     node.reject_unread()
     return Traffic(load=load, skew=skew, loads=loads)
 
@@ -251,9 +252,9 @@
 
 
 def _find_fleet_text(files: list[Path]) -> str:
-    """The first fleet node of the files, as KDL."""
+    """Returns the first `fleet` node of the files, as KDL."""
     for file in files:
         for node in Parser().parse(file.read_text(encoding="utf-8")).nodes:
             if node.name == "fleet":
                 return str(node.print())
-    raise LookupError(f"{files[0]}: no fleet, though the settings were read")
+    raise LookupError(f"{files[0]}: no node fleet, though the settings were valid")
--- a/gradehoist/scenario/free_ports.py
+++ b/gradehoist/scenario/free_ports.py
@@ -1,4 +1,4 @@
-"""Finding loopback ports that nothing listens on."""
+"""Finds loopback ports on which nothing listens."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import socket
 from contextlib import ExitStack, suppress
 
-# Below the range that systems take for outgoing connections: from there, a port that was free a moment ago
-# was another run's connection when its process came to listen.
+# The ports lie below the range that operating systems use for outgoing connections. A port of that range that
+# was found free could be taken by a connection of another run before the process listened on it.
 FIRST_PORT = 10_000
 LAST_PORT = 32_000
-MAX_START_PORT = 30_000  # the search begins at random up to here
+MAX_START_PORT = 30_000  # The search begins at a random port below this one.
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Finds free loopback ports, held together while they are found so that none is found twice."""
+    """Returns distinct free ports; all are bound until the last one is found, so that none is found twice."""
     port = random.SystemRandom().randrange(FIRST_PORT, MAX_START_PORT)
     ports: list[int] = []
     with ExitStack() as stack:
--- a/gradehoist/scenario/governor_settings.py
+++ b/gradehoist/scenario/governor_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a run's governors."""
+"""Formats the settings file of a run's governors."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from gradehoist.scenario.definition import Scenario
 from gradehoist.testbed.scenario_plan import Plan
 
-PLACEMENT_FILE = "cells.json"  # beside the settings file
+PLACEMENT_FILE = "cells.json"  # It lies beside the settings file.
 
 
 def format_settings(scenario: Scenario, plan: Plan) -> str:
-    """The scenario's fleet and governors with the addresses of this run, as KDL."""
+    """Returns the scenario's fleet and governors with the addresses of this run, as KDL."""
     document = Parser().parse(scenario.fleet_text)
     fleet = document.nodes[0]
     list_host, list_port = plan.endpoint_list
--- a/gradehoist/scenario/network_plan.py
+++ b/gradehoist/scenario/network_plan.py
@@ -1,4 +1,4 @@
-"""The addresses of a run: which processes there are, and the links through which they reach each other."""
+"""Assigns ports to the processes of a run and to the links through which they connect to each other."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 HOST = "127.0.0.1"
 
-Governor = tuple[str, str, Address]  # name, zone and address, as the plan stores it
+Governor = tuple[str, str, Address]  # The name, zone and address of a governor, as stored in the plan.
 
 
 @dataclass(frozen=True)
 class ConnectedProxies:
-    """Proxies with their ports, and the links over which they reach the governors."""
+    """Proxies with their ports, and their links to the governors."""
 
     proxies: tuple[ProxyPlan, ...]
     links: tuple[LinkPlan, ...]
 
 
 def list_roles(scenario: Scenario) -> list[str]:
-    """The processes of test doubles, by the names of their roles."""
+    """Returns the roles of the test doubles; each role is a process."""
     zones = scenario.settings.fleet.zones
     proxy_roles = [f"relays-{zone}" for zone in zones]
     replica_roles = [f"replicas-{zone}" for zone in zones]
@@ -34,7 +34,7 @@
 def count_ports(
     scenario: Scenario, replicas: list[ReplicaPlan], proxies: list[ProxyPlan], roles: list[str]
 ) -> int:
-    """How many ports a run listens on."""
+    """Returns the number of ports that a run listens on."""
     governors = scenario.settings.governors
     endpoint_lists = 1
     processes = len(replicas) + len(proxies) + len(governors) + endpoint_lists + len(roles)
@@ -44,7 +44,7 @@
 
 
 def link_replicas(scenario: Scenario, replicas: list[ReplicaPlan], ports: Iterator[int]) -> list[LinkPlan]:
-    """One link from each zone to each replica."""
+    """Creates a link from each zone to each replica."""
     return [
         LinkPlan(
             port=next(ports),
@@ -61,7 +61,7 @@
 def connect_proxies(
     proxies: list[ProxyPlan], governors: tuple[Governor, ...], ports: Iterator[int]
 ) -> ConnectedProxies:
-    """Gives each proxy its port and a link of its own to each governor."""
+    """Assigns each proxy its port and creates its links, one to each governor."""
     links: list[LinkPlan] = []
     connected: list[ProxyPlan] = []
     for number, proxy in enumerate(proxies):
@@ -82,7 +82,10 @@
 
 
 def _order_governors(governors: tuple[Governor, ...], zone: str, offset: int) -> list[Governor]:
-    """The order in which a proxy tries the governors: those of its zone first, else each proxy another."""
+    """Returns the governors in the order in which a proxy tries them.
+
+    Those of its own zone come first. `offset` rotates the others, so that the proxies spread over them.
+    """
     start = offset % len(governors)
     rotated = [*governors[start:], *governors[:start]]
     return sorted(rotated, key=lambda governor: governor[1] != zone)
--- a/gradehoist/scenario/plan_builder.py
+++ b/gradehoist/scenario/plan_builder.py
@@ -1,4 +1,7 @@
-"""Draws the plan of a run from a scenario and a seed: the same seed plays the same run, but for the ports."""
+"""Generates the plan of a run from a scenario and a seed.
+
+The same scenario and seed give the same plan except for the ports, which are those that are free.
+"""
 
 from __future__ import annotations
 
@@ -29,16 +32,16 @@
     SafetyRules,
 )
 
-REPLICAS_PER_CELL = 4  # of the cells that an endpoint list names; the cells of tenants are others
-SPEED_FACTORS = (0.85, 1.15)  # machines of one kind differ so much
-SIZE_ERROR_FACTORS = (0.9, 1.1)  # the endpoint list's size of a replica is wrong so much
+REPLICAS_PER_CELL = 4  # Of the cells in the endpoint list, which are independent of the cells of tenants.
+SPEED_FACTORS = (0.85, 1.15)  # The machines of one kind differ in speed by these factors.
+SIZE_ERROR_FACTORS = (0.9, 1.1)  # The sizes in the endpoint list differ from the true ones by these factors.
 MIN_REPLICAS_PER_CELL = 2
 MIN_ZONES_PER_CELL = 2
 
 
 @dataclass(frozen=True)
 class PlacedCells:
-    """The cells of tenants, and where the placement put replicas and tenants."""
+    """The cells of tenants, and the cell in which each replica and each tenant was placed."""
 
     names: tuple[str, ...]
     cell_by_replica: dict[str, str]
@@ -48,13 +51,13 @@
 def build_plan(
     scenario: Scenario, seed: int, follow_governors: bool = True, even_weights: bool = False
 ) -> Plan:
-    """Draws the plan of one run.
+    """Generates the plan of one run.
 
     Args:
-        scenario: what is run.
-        seed: decides everything that is drawn.
-        follow_governors: whether the proxies poll a governor, else they stay on their default tables.
-        even_weights: whether the default tables hold every replica with the same weight.
+        scenario: the scenario to run.
+        seed: the seed of all random generators.
+        follow_governors: whether the proxies poll a governor; otherwise they keep their default tables.
+        even_weights: whether the default tables contain every allowed replica, weighted by its size.
     """
     random = create_random(seed, "fleet")
     replicas = _generate_replicas(scenario, random)
@@ -122,10 +125,10 @@
 
 
 def speed_up_plan(plan: Plan, factor: float) -> Plan:
-    """The same run `factor` times as fast: its length, steps and the endpoint list's delays.
+    """Returns a plan with the same steps in `1 / factor` of the time.
 
-    What the fleet is (latency objectives, grace, warm-up, limits) stays, so a fast run is a harder one that
-    is judged by the same rules.
+    The run's length, its steps and the endpoint list's delays become shorter. Latency objectives, drain
+    grace, warm-up and limits stay, so a faster run is a harder one under the same safety rules.
     """
     steps = tuple(msgspec.structs.replace(step, at_us=round(step.at_us / factor)) for step in plan.steps)
     shape = tuple((round(at_us / factor), rate_factor) for at_us, rate_factor in plan.rate_factors)
@@ -190,7 +193,7 @@
 
 
 def _capacity_requests_per_s(replicas: list[ReplicaPlan], classes: tuple[RequestClassPlan, ...]) -> float:
-    """The requests a second that the listed replicas can do when they are warm."""
+    """Returns the rate of requests that the listed replicas can serve after their warm-up."""
     total_share = sum(request_class.traffic_share for request_class in classes)
     mean_work_ms = (
         sum(request_class.traffic_share * request_class.work_ms for request_class in classes) / total_share
@@ -219,7 +222,7 @@
 
 
 def _generate_tenants(scenario: Scenario, random: Random) -> tuple[tuple[str, float], ...]:
-    """Names of tenants and their shares of the traffic."""
+    """Generates the names of the tenants and their shares of the traffic."""
     weights = [random.lognormvariate(0, scenario.tenants.skew) for _ in range(scenario.tenants.count)]
     total = sum(weights)
     return tuple((f"inn{number}", weight / total) for number, weight in enumerate(weights))
@@ -257,7 +260,7 @@
 def _build_rate_limits(
     scenario: Scenario, rate: float, cell_count: int, proxy_count: int
 ) -> RateLimitPlan | None:
-    """The limits of one proxy, in requests a second."""
+    """Returns the rate limits of one proxy, None if the scenario has none."""
     multiples = scenario.rate_limits
     if multiples is None:
         return None
--- a/tests/test_scenario_run.py
+++ b/tests/test_scenario_run.py
@@ -52,7 +52,7 @@
     processes = ProcessGroup(RunFolder(tmp_path))
     (port,) = find_free_ports(1)
     processes.start("roster", "no_such_module")
-    with pytest.raises(ProcessStartError, match="roster did not come up: .*no_such_module") as caught:
+    with pytest.raises(ProcessStartError, match="roster did not start: .*no_such_module") as caught:
         asyncio.run(processes.wait_until_ready("roster", port, "POST", "/", b""))
     processes.stop_all()
     assert caught.value.name == "roster"
@@ -60,7 +60,9 @@
 
 def test_a_process_that_ends_by_itself_is_an_error_with_its_exit_code(tmp_path: Path) -> None:
     processes = run_to_its_end(tmp_path, "clients")
-    with pytest.raises(ProcessExitError, match=r"exit 0; see clients\.log") as caught:
+    with pytest.raises(
+        ProcessExitError, match=r"exited unexpectedly with code 0; see clients\.log"
+    ) as caught:
         processes.check_running()
     assert caught.value.exit_code == 0
 
