--- a/gradehoist/scenario/faults/control_plane.py
+++ b/gradehoist/scenario/faults/control_plane.py
@@ -1,4 +1,4 @@
-"""Faults of governors, of their channels and of the endpoint list."""
+"""Faults of governors, their channels and the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
     FaultSteps,
 )
 
-BYTES_PER_LINE = 40  # of a response, for each line of its messages: 260 of one withdrawal, which costs six
+# The response size per line of its messages. A withdrawal costs six lines and takes about 260 bytes.
+BYTES_PER_LINE = 40
 
 
 def slow_channel(steps: FaultSteps) -> None:
-    """Channels are slower by the magnitude, in bytes that all proxies of a governor share."""
+    """Divides the bandwidth that all proxies of a governor share by the magnitude."""
     bytes_per_s = steps.plan.rules.lines_per_s * BYTES_PER_LINE / max(1.0, steps.fault.magnitude)
     governors = [steps.fault.governor] if steps.fault.governor else steps.governors()
     steps.add_command(steps.fault.at_us, LINKS_ROLE, "pace", targets=governors, value=bytes_per_s)
@@ -25,7 +26,7 @@
 
 
 def disconnect_proxies(steps: FaultSteps) -> None:
-    """Some proxies reach no governor and go on forwarding."""
+    """Cuts some proxies off from all governors; they continue to forward requests."""
     proxies = steps.choose_proxies()
     governors = steps.governors()
     link_faults = REFUSE_CONNECTIONS if steps.fault.variant is Variant.REFUSE else BLACKHOLE
@@ -34,13 +35,13 @@
 
 
 def reset_streams(steps: FaultSteps) -> None:
-    """The streams of some proxies break at once."""
+    """Resets the streams of some proxies at the same time."""
     proxies = steps.choose_proxies()
     steps.add_command(steps.fault.at_us, LINKS_ROLE, "reset", relays=proxies, targets=steps.governors())
 
 
 def reconnect_to_one_governor(steps: FaultSteps) -> None:
-    """All streams break at once, and every proxy reconnects to one and the same governor."""
+    """Resets all streams at the same time; all proxies then reconnect to the same governor."""
     governor = steps.fault.governor or steps.governors()[0]
     for zone in steps.plan.zones:
         proxies = steps.proxies_of(zone)
@@ -48,19 +49,19 @@
             steps.add_command(
                 steps.fault.at_us, f"relays-{zone}", "aim", relays=proxies, governor=governor, next=True
             )
-    # One µs later, so that every proxy knows where to reconnect when its stream breaks.
+    # The reset is 1 µs later, so that all proxies know where to reconnect when their streams break.
     steps.add_command(steps.fault.at_us + 1, LINKS_ROLE, "reset", targets=steps.governors())
 
 
 def kill_governor(steps: FaultSteps) -> None:
-    """A governor is killed, and started again at the end of the fault."""
+    """Kills a governor, and starts it again at the end of the fault."""
     governor = steps.fault.governor or steps.random.choice(steps.governors())
     steps.add_command(steps.fault.at_us, RUNNER_ROLE, "kill", governor=governor)
     steps.add_command(steps.fault.end_us, RUNNER_ROLE, "start", governor=governor)
 
 
 def stop_endpoint_list(steps: FaultSteps) -> None:
-    """The endpoint list responds to nobody; variant forget: its versions begin again afterwards."""
+    """Makes the endpoint list unavailable. In the variant `forget`, its versions restart afterwards."""
     is_silent = steps.fault.variant is Variant.SILENT
     steps.add_command(
         steps.fault.at_us, ENDPOINT_LIST_ROLE, "down", value="silent" if is_silent else "refusing"
@@ -71,7 +72,7 @@
 
 
 def flap_endpoints(steps: FaultSteps) -> None:
-    """The endpoint list shows replicas as gone and as ready by turns, while they run on."""
+    """Lists running replicas as gone and as ready in turn, changing every `extra_us`."""
     replicas = steps.choose_replicas()
     at_us = steps.fault.at_us
     is_gone = True
--- a/gradehoist/scenario/faults/fault.py
+++ b/gradehoist/scenario/faults/fault.py
@@ -1,4 +1,4 @@
-"""What a scenario says of a fault, and how late the endpoint list is to notice one."""
+"""The description of a fault in a scenario, and the delays of the endpoint list."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Variant(StrEnum):
-    """How a fault strikes, where its kind knows more than one way; files name it as `how`."""
+    """The variant of a fault whose kind has several; in scenario files it is the property `how`."""
 
     ANY = "any"
     SILENT = "silent"
@@ -21,7 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListDelays:
-    """How late the endpoint list shows that a process ended, that one fell silent, and that one was added."""
+    """The delays until the endpoint list shows a change.
+
+    Attributes:
+        ended_us: the delay after a process has exited.
+        silent_us: the delay after a machine has stopped responding.
+        added_us: the delay after a replica has started or begins to drain.
+    """
 
     ended_us: int
     silent_us: int
@@ -30,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault from `at_us` on, for `duration_us`.
+    """A fault that begins at `at_us` and lasts `duration_us`.
 
-    It strikes `affected_share` of the replicas or proxies, of `zone` and `replica_kind` where these are not
-    empty. What `magnitude` and `extra_us` mean is up to the kind.
+    It affects `affected_share` of the replicas or proxies. `zone` and `replica_kind` restrict these unless
+    they are empty. The meaning of `magnitude` and `extra_us` depends on the kind.
     """
 
     kind: str
@@ -49,5 +55,5 @@
 
     @property
     def end_us(self) -> int:
-        """When the fault ends."""
+        """The time at which the fault ends."""
         return self.at_us + self.duration_us
--- a/gradehoist/scenario/faults/kinds.py
+++ b/gradehoist/scenario/faults/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults by the names that scenario files use, and how a file's faults become steps."""
+"""Maps the kinds of faults in scenario files to their functions, and plans the steps of a run."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 
 
 def parse_fault(node: Node, settings: Settings, length_us: int) -> Fault:
-    """Reads a node `trouble` of a scenario that lasts `length_us`; errors are added to the node's reader."""
-    kind = node.get_name("a kind of trouble")
+    """Reads a node `trouble` of a scenario of length `length_us`; errors are added to the node's reader."""
+    kind = node.get_name("a kind of fault")
     if kind and kind not in FAULT_KINDS:
-        node.add_error(f"unknown kind {kind}", "known are " + ", ".join(sorted(FAULT_KINDS)))
+        node.add_error(f"unknown kind {kind}", "use one of " + ", ".join(sorted(FAULT_KINDS)))
     governors = tuple(governor.name for governor in settings.governors)
     fault = Fault(
         kind=kind,
@@ -66,21 +66,21 @@
         variant=Variant(node.get("how", choice_parser(Variant), str(Variant.ANY))),
     )
     if fault.at_us and length_us and fault.at_us >= length_us:
-        node.add_error("begins after the day's end", "set at under the scene's length", "at")
+        node.add_error("begins after the end of the scenario", "set a time below the scene's length", "at")
     node.reject_unread(expected_args=1)
     return fault
 
 
 def _get_optional_name(node: Node, key: str, choices: tuple[str, ...]) -> str:
-    """The name at `key`, empty where there is none."""
-    node.read_keys.add(key)  # so that an error of another property lists it as known
+    """Returns the name in a property, or an empty string if the property is missing."""
+    node.read_keys.add(key)  # An error about an unknown property then lists this one as known.
     if key not in node.props:
         return ""
     return node.get(key, choice_parser(choices), "")
 
 
 def plan_steps(plan: Plan, faults: tuple[Fault, ...], delays: EndpointListDelays) -> tuple[Step, ...]:
-    """All steps of a run, in order of time; each fault draws from a random generator of its own."""
+    """Returns all steps of a run in order of time; each fault has its own random generator."""
     steps: list[Step] = []
     for number, fault in enumerate(faults):
         fault_steps = FaultSteps(plan, fault, delays, create_random(plan.seed, "trouble", number))
--- a/gradehoist/scenario/faults/network.py
+++ b/gradehoist/scenario/faults/network.py
@@ -5,12 +5,12 @@
 from gradehoist.scenario.faults.fault import Variant
 from gradehoist.scenario.faults.steps import BLACKHOLE, NO_LINK_FAULTS, RUNNER_ROLE, FaultSteps
 
-CLIENT_RETURN_DELAY_US = 500_000  # clients come back to the proxies of a zone once these have started
+CLIENT_RETURN_DELAY_US = 500_000  # Clients return to the proxies of a zone after these have started.
 SLOW_LINK_DELAY_S = 0.25
 
 
 def lose_zone(steps: FaultSteps) -> None:
-    """All replicas of a zone end and start again; variant all: its proxies and governors too."""
+    """Stops all replicas of a zone and starts them again; in the variant `all` also proxies and governors."""
     fault = steps.fault
     zone = steps.choose_zone()
     replicas = [replica.name for replica in steps.plan.replicas if replica.zone == zone and replica.is_listed]
@@ -37,14 +37,14 @@
 
 
 def partition_zone(steps: FaultSteps) -> None:
-    """No link between a zone and the others carries anything."""
+    """Blackholes all links between a zone and the others."""
     zone = steps.choose_zone()
     steps.inject_link_faults(steps.fault.at_us, BLACKHOLE, across=zone)
     steps.inject_link_faults(steps.fault.end_us, NO_LINK_FAULTS, across=zone)
 
 
 def impair_zone_links(steps: FaultSteps) -> None:
-    """The links from one zone to some replicas are bad, while these serve the other zones as usual."""
+    """Impairs the links from one zone to some replicas, which serve the other zones normally."""
     fault = steps.fault
     zone = steps.choose_zone()
     count = max(1, round(fault.affected_share * len(steps.plan.replicas)))
--- a/gradehoist/scenario/faults/replica.py
+++ b/gradehoist/scenario/faults/replica.py
@@ -1,4 +1,4 @@
-"""Faults of replicas and of the machines that they run on."""
+"""Faults of replicas and of their machines."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from gradehoist.scenario.faults.steps import BLACKHOLE, CLIENTS_ROLE, REFUSE_CONNECTIONS, FaultSteps
 
 SECOND_US = 1_000_000
-RAMP_STEPS = 4  # orders in which the traffic falls
-AGEING_STEPS = 8  # orders in which replicas become slower
-NEIGHBOUR_PERIOD_FACTORS = (0.5, 1.5)  # a neighbour's load comes and goes without a fixed period
+RAMP_STEPS = 4  # The traffic falls in so many steps.
+AGEING_STEPS = 8  # Replicas become slower in so many steps.
+NEIGHBOUR_PERIOD_FACTORS = (0.5, 1.5)  # Factors on the period, so that it is irregular.
 
 
 def crash(steps: FaultSteps) -> None:
-    """Replicas end, and start again at the end of the fault."""
+    """Stops replicas, and starts them again at the end of the fault."""
     replicas = steps.choose_replicas()
     steps.kill_replicas(steps.fault.at_us, replicas)
     steps.restart_replicas(steps.fault.end_us, replicas)
 
 
 def fail_silently(steps: FaultSteps) -> None:
-    """Replicas fall silent; the endpoint list notices only a fault that lasts longer than its delay."""
+    """Makes replicas unresponsive; the endpoint list notices only faults longer than its delay."""
     replicas = steps.choose_replicas()
     if steps.fault.duration_us > steps.delays.silent_us:
         steps.blackhole_replicas(steps.fault.at_us, replicas)
@@ -29,21 +29,21 @@
 
 
 def slow_down(steps: FaultSteps) -> None:
-    """Replicas are slower by the magnitude."""
+    """Divides the speed of replicas by the magnitude."""
     replicas = steps.choose_replicas()
     steps.add_replica_commands(steps.fault.at_us, "slow", replicas, steps.fault.magnitude)
     steps.add_replica_commands(steps.fault.end_us, "slow", replicas, 1.0)
 
 
 def hang(steps: FaultSteps) -> None:
-    """Replicas accept attempts and do no work."""
+    """Makes replicas accept attempts without processing them."""
     replicas = steps.choose_replicas()
     steps.add_replica_commands(steps.fault.at_us, "hang", replicas, True)
     steps.add_replica_commands(steps.fault.end_us, "hang", replicas, False)
 
 
 def add_noisy_neighbour(steps: FaultSteps) -> None:
-    """Another load on the machines comes and goes, each time for about `extra_us`."""
+    """Takes a share of the machines' capacity in bursts; bursts and pauses last about `extra_us`."""
     replicas = steps.choose_replicas()
     at_us = steps.fault.at_us
     is_busy = True
@@ -55,7 +55,7 @@
 
 
 def shrink_fleet(steps: FaultSteps) -> None:
-    """Traffic falls to 1 / magnitude, and replicas drain one by one and end."""
+    """Reduces the traffic to 1 / magnitude, and drains and stops replicas one by one."""
     fault = steps.fault
     replicas = steps.choose_replicas()
     final_factor = 1 / max(1.0, fault.magnitude)
@@ -68,17 +68,17 @@
 
 
 def drain(steps: FaultSteps) -> None:
-    """Replicas are listed as draining, end after `extra_us`, and start again at the end of the fault."""
+    """Drains replicas, stops them after `extra_us`, and starts them at the end of the fault."""
     fault, delays = steps.fault, steps.delays
     replicas = steps.choose_replicas()
     steps.drain_replicas(fault.at_us, replicas)
-    # They can't start before the endpoint list has shown that they are gone.
+    # They can't start before the endpoint list has shown them as gone.
     shortest_us = fault.extra_us + 2 * delays.added_us + delays.ended_us + SECOND_US
     steps.restart_replicas(fault.at_us + max(fault.duration_us, shortest_us), replicas)
 
 
 def preempt(steps: FaultSteps) -> None:
-    """Replicas drain and end for good; as many spare ones, which are new, start at the end of the fault."""
+    """Drains and stops replicas for good, and starts as many spare ones at the end of the fault."""
     replicas = steps.choose_replicas()
     steps.drain_replicas(steps.fault.at_us, replicas)
     spare = [replica.name for replica in steps.plan.replicas if not replica.is_listed][: len(replicas)]
@@ -87,7 +87,7 @@
 
 
 def report_false_load(steps: FaultSteps) -> None:
-    """Replicas are slower and report only a share of their load: `extra_us` as a share of a second."""
+    """Slows replicas down and has them report only a share of their load, `extra_us` / 1 s."""
     fault = steps.fault
     replicas = steps.choose_replicas()
     steps.add_replica_commands(fault.at_us, "slow", replicas, fault.magnitude)
@@ -97,7 +97,7 @@
 
 
 def restart_many(steps: FaultSteps) -> None:
-    """Replicas restart at once; unlisted: too quickly for the endpoint list to show them as gone."""
+    """Restarts replicas together; in the variant `unlisted` the endpoint list never shows them as gone."""
     replicas = steps.choose_replicas()
     if steps.fault.variant is Variant.UNLISTED:
         steps.stop_replicas(steps.fault.at_us, replicas, REFUSE_CONNECTIONS)
@@ -107,7 +107,7 @@
 
 
 def degrade_until_crash(steps: FaultSteps) -> None:
-    """Replicas become slower, up to the magnitude, then end; they start again `extra_us` later."""
+    """Slows replicas down step by step, up to the magnitude, and restarts them `extra_us` later."""
     fault = steps.fault
     replicas = steps.choose_replicas()
     for number in range(1, AGEING_STEPS + 1):
--- a/gradehoist/scenario/faults/steps.py
+++ b/gradehoist/scenario/faults/steps.py
@@ -1,4 +1,4 @@
-"""Collects the steps of one fault and draws what it strikes."""
+"""Collects the steps of one fault and samples its targets."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 LINKS_ROLE = "links"
 ENDPOINT_LIST_ROLE = "roster"
 
-NO_LINK_FAULTS: dict[str, Any] = {}  # the injury of a link that works as usual
-BLACKHOLE = {"hole": True}  # connections stay open and carry nothing
+NO_LINK_FAULTS: dict[str, Any] = {}
+BLACKHOLE = {"hole": True}  # Connections stay open, and nothing is forwarded.
 REFUSE_CONNECTIONS = {"refuse": True}
 
 
 class FaultSteps:
-    """The steps of one fault; the orders' names and fields are those of the test doubles' control ports."""
+    """The steps of one fault. Its commands have the names and fields that the test doubles expect."""
 
     def __init__(self, plan: Plan, fault: Fault, delays: EndpointListDelays, random: Random) -> None:
-        """Begins without a step; `random` is the fault's own."""
+        """Creates an empty collection; `random` is the fault's own generator."""
         self.plan = plan
         self.fault = fault
         self.delays = delays
@@ -31,10 +31,10 @@
         self.steps: list[Step] = []
         self._zone_by_replica = {replica.name: replica.zone for replica in plan.replicas}
 
-    # What is struck
+    # Targets
 
     def choose_replicas(self) -> list[str]:
-        """Draws the share of the listed replicas that fit the fault, at least one."""
+        """Samples the affected share of the listed replicas of the fault's zone and kind, at least one."""
         candidates = [
             replica for replica in self.plan.replicas if replica.is_listed and self._is_candidate(replica)
         ]
@@ -43,22 +43,22 @@
         return [replica.name for replica in chosen]
 
     def choose_proxies(self) -> list[str]:
-        """Draws the share of the proxies of the fault's zone, or of all, at least one."""
+        """Samples the affected share of the proxies of the fault's zone, or of all, at least one."""
         candidates = [
             proxy.name for proxy in self.plan.proxies if not self.fault.zone or proxy.zone == self.fault.zone
         ]
         return self.random.sample(candidates, max(1, round(self.fault.affected_share * len(candidates))))
 
     def choose_zone(self) -> str:
-        """The fault's zone, else one that is drawn."""
+        """Returns the fault's zone, or a random one if it has none."""
         return self.fault.zone or self.random.choice(self.plan.zones)
 
     def proxies_of(self, zone: str) -> list[str]:
-        """The proxies of a zone."""
+        """Returns the names of the proxies of a zone."""
         return [proxy.name for proxy in self.plan.proxies if proxy.zone == zone]
 
     def governors(self) -> list[str]:
-        """All governors."""
+        """Returns the names of all governors."""
         return [name for name, _, _ in self.plan.governors]
 
     def _is_candidate(self, replica: ReplicaPlan) -> bool:
@@ -66,14 +66,14 @@
             return False
         return not self.fault.replica_kind or replica.kind == self.fault.replica_kind
 
-    # Orders
+    # Commands
 
     def add_command(self, at_us: int, role: str, name: str, **fields: Any) -> None:
-        """Orders something of the process of a role."""
+        """Adds a command for the process of a role."""
         self.steps.append(Step(at_us=at_us, role=role, command={"do": name, **fields}))
 
     def add_replica_commands(self, at_us: int, name: str, replicas: Iterable[str], value: Any = None) -> None:
-        """Orders something of replicas, through the processes of their zones."""
+        """Adds a command for replicas, one for each of the processes that run them."""
         by_zone: dict[str, list[str]] = {}
         for replica in replicas:
             by_zone.setdefault(self._zone_by_replica[replica], []).append(replica)
@@ -83,7 +83,7 @@
     def set_listed_phase(
         self, at_us: int, replicas: list[str], phase: str, *, restarted: bool = False, ago_us: int = 0
     ) -> None:
-        """Has the endpoint list show a phase, and where they restarted, how long ago that was."""
+        """Sets the phase of replicas in the endpoint list; `ago_us` is the time since they restarted."""
         self.add_command(
             at_us,
             ENDPOINT_LIST_ROLE,
@@ -95,38 +95,38 @@
         )
 
     def inject_link_faults(self, at_us: int, link_faults: dict[str, Any], **links: Any) -> None:
-        """Changes how the chosen links carry bytes; `REPAIRED` ends an injury."""
+        """Replaces the faults of the selected links; `NO_LINK_FAULTS` ends all faults."""
         self.add_command(at_us, LINKS_ROLE, "injure", harm=link_faults, **links)
 
     def scale_requests(self, at_us: int, proxies: list[str], factor: float) -> None:
-        """Multiplies the requests to some proxies."""
+        """Multiplies the planned request rate of some proxies by `factor`."""
         self.add_command(at_us, CLIENTS_ROLE, "factor", relays=proxies, value=factor)
 
-    # What several kinds do
+    # Sequences that several kinds share
 
     def kill_replicas(self, at_us: int, replicas: list[str]) -> None:
-        """Ends the processes of replicas; the endpoint list shows it late."""
+        """Stops replicas; the endpoint list shows them as gone after its delay for exited processes."""
         self.stop_replicas(at_us, replicas, REFUSE_CONNECTIONS)
         self.set_listed_phase(at_us + self.delays.ended_us, replicas, "gone")
 
     def blackhole_replicas(self, at_us: int, replicas: list[str]) -> None:
-        """Lets replicas fall silent together with their machines; the endpoint list shows it later still."""
+        """Stops replicas and blackholes their links; the endpoint list shows it after its longer delay."""
         self.stop_replicas(at_us, replicas, BLACKHOLE)
         self.set_listed_phase(at_us + self.delays.silent_us, replicas, "gone")
 
     def stop_replicas(self, at_us: int, replicas: list[str], link_faults: dict[str, Any]) -> None:
-        """Ends the processes of replicas without the endpoint list's knowledge."""
+        """Stops replicas and sets the faults of their links; the endpoint list stays unchanged."""
         self.inject_link_faults(at_us, link_faults, targets=replicas)
         self.add_replica_commands(at_us, "die", replicas)
 
     def drain_replicas(self, at_us: int, replicas: list[str]) -> None:
-        """Lists replicas as draining and ends their processes `extra_us` later."""
+        """Lists replicas as draining and stops them `extra_us` later."""
         listed_us = at_us + self.delays.added_us
         self.set_listed_phase(listed_us, replicas, "draining")
         self.kill_replicas(listed_us + self.fault.extra_us, replicas)
 
     def restart_replicas(self, at_us: int, replicas: list[str]) -> None:
-        """Starts replicas, which then warm up."""
+        """Starts replicas, which then warm up, and lists them as ready."""
         self.add_replica_commands(at_us, "start", replicas)
         self.inject_link_faults(at_us, NO_LINK_FAULTS, targets=replicas)
         added_us = self.delays.added_us
--- a/gradehoist/scenario/faults/traffic.py
+++ b/gradehoist/scenario/faults/traffic.py
@@ -1,16 +1,16 @@
-"""Changes of the traffic, and work on tenants: migrations and rollouts."""
+"""Changes of the traffic, migrations of tenants, and rollouts."""
 
 from __future__ import annotations
 
 from gradehoist.scenario.faults.steps import CLIENTS_ROLE, RUNNER_ROLE, FaultSteps
 
 SECOND_US = 1_000_000
-SHIFT_STEPS = 4  # orders in which the traffic moves
-MIN_TRAFFIC_SHARE = 1e-6  # of the traffic; divided by
+SHIFT_STEPS = 4  # The traffic moves in so many steps.
+MIN_TRAFFIC_SHARE = 1e-6  # It avoids a division by zero.
 
 
 def overload_few_proxies(steps: FaultSteps) -> None:
-    """A few proxies get `magnitude` times the whole traffic on top of their own."""
+    """Adds `magnitude` times the whole traffic to the traffic of a few proxies."""
     proxies = steps.choose_proxies()
     share = sum(proxy.traffic_share for proxy in steps.plan.proxies if proxy.name in proxies)
     steps.scale_requests(
@@ -20,7 +20,7 @@
 
 
 def shift_traffic(steps: FaultSteps) -> None:
-    """For good, traffic moves to one zone until this has the share `magnitude`."""
+    """Moves traffic permanently to one zone, until the zone has the share `magnitude`."""
     fault = steps.fault
     zone = steps.choose_zone()
     proxies = steps.proxies_of(zone)
@@ -35,7 +35,7 @@
 
 
 def flood_tenant(steps: FaultSteps) -> None:
-    """The tenant with the median share sends `magnitude` times its requests."""
+    """Multiplies the requests of the tenant with the median share by `magnitude`."""
     by_share = sorted(steps.plan.tenant_shares, key=lambda tenant: tenant[1])
     name, _ = by_share[len(by_share) // 2]
     steps.add_command(steps.fault.at_us, CLIENTS_ROLE, "louder", tenant=name, value=steps.fault.magnitude)
@@ -43,7 +43,7 @@
 
 
 def migrate_tenants(steps: FaultSteps) -> None:
-    """Some of the tenants of the first cell are migrated to the next, by the migration command itself."""
+    """Migrates some of the tenants of the first cell to the second, with the migration command."""
     cells = steps.plan.cells
     source = cells[0]
     target = cells[1 % len(cells)]
@@ -54,7 +54,7 @@
 
 
 def roll_out_version(steps: FaultSteps) -> None:
-    """A staged rollout, cell by cell, of a version that fails some of its work and is slower for the rest."""
+    """Rolls out, cell by cell, a version that fails a share of its requests and is slower for the others."""
     fault = steps.fault
     steps.add_command(
         fault.at_us,
--- a/gradehoist/scenario/processes.py
+++ b/gradehoist/scenario/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run: each is started with a log of its own, watched, and ended by its id."""
+"""Starts, monitors and stops the processes of a run, each of which has its own log."""
 
 from __future__ import annotations
 
@@ -12,22 +12,23 @@
 from gradehoist.scenario.run_folder import RunFolder
 
 HOST = "127.0.0.1"
-START_TIMEOUT_S = 20.0  # the start of Python on a loaded machine
-STOP_TIMEOUT_S = 5.0  # then a process that does not heed SIGTERM is killed
+START_TIMEOUT_S = 20.0  # Python starts slowly on a loaded machine.
+STOP_TIMEOUT_S = 5.0  # A process that still runs so long after SIGTERM is killed.
 PING_TIMEOUT_S = 1.0
 PING_INTERVAL_S = 0.05
 LOG_LINES_IN_ERROR = 3
-# Clients and proxies end first, so that nothing is sent to processes that have ended.
+# Prefixes of names. Clients and proxies stop first, so that nothing is sent to processes that have stopped.
 STOP_ORDER = ("clients", "relays", "mover", "release", "governor", "replicas", "roster", "links")
-# Commands that end by themselves, and the exit codes that are no failure: a rollout that halts exits with 1.
+# The commands that exit before the end of the run, and their exit codes that are not failures. A rollout that
+# was halted exits with 1.
 EXPECTED_EXIT_CODES = {"mover": (0,), "release": (0, 1)}
 
 
 class ProcessGroup:
-    """Owns the processes of one run, by name."""
+    """The processes of one run, by name."""
 
     def __init__(self, folder: RunFolder) -> None:
-        """Begins without a process."""
+        """Creates a group without processes; their logs are written to `folder`."""
         self._folder = folder
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
 
@@ -42,7 +43,7 @@
         """Waits until a process responds to a request.
 
         Raises:
-            ProcessStartError: it ended, or it did not respond for `START_TIMEOUT_S`.
+            ProcessStartError: the process exited, or it did not respond within `START_TIMEOUT_S`.
         """
         client = HttpClient(HOST, port)
         deadline_s = asyncio.get_running_loop().time() + START_TIMEOUT_S
@@ -58,10 +59,10 @@
             client.close()
 
     def check_running(self) -> None:
-        """Checks that no process has ended which should not.
+        """Checks that every process runs, except for commands that have exited normally.
 
         Raises:
-            ProcessExitError: one has.
+            ProcessExitError: a process has exited.
         """
         for name, process in self._processes.items():
             exit_code = process.poll()
@@ -69,13 +70,13 @@
                 raise ProcessExitError(name, exit_code)
 
     def kill(self, name: str) -> None:
-        """Kills a process without a chance to end in order."""
+        """Kills a process with SIGKILL, so that it can't shut down normally, and forgets it."""
         process = self._processes.pop(name)
         process.kill()
         process.wait()
 
     def stop_all(self) -> None:
-        """Ends every process in order, and kills those that take too long."""
+        """Stops all processes in the order of `STOP_ORDER`, and kills those that take too long."""
         for name in sorted(self._processes, key=_stop_rank):
             process = self._processes[name]
             if process.poll() is None:
@@ -88,7 +89,7 @@
 
     def _read_log_tail(self, name: str) -> str:
         lines = self._folder.log(name).read_text(errors="replace").strip().splitlines()
-        return " | ".join(lines[-LOG_LINES_IN_ERROR:]) or "it said nothing"
+        return " | ".join(lines[-LOG_LINES_IN_ERROR:]) or "its log is empty"
 
 
 async def _is_responding(client: HttpClient, method: str, target: str, body: bytes) -> bool:
--- a/gradehoist/scenario/report.py
+++ b/gradehoist/scenario/report.py
@@ -1,4 +1,4 @@
-"""The report of a run: its charts, its verdict as JSON, and one HTML page that holds them all."""
+"""Writes the report of a run: its charts, its verdict as JSON, and an HTML page that contains both."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from gradehoist.scenario.counts import RunCounts, count_events
 from gradehoist.testbed.scenario_plan import Plan
 
-ORDER_LENGTH = 160  # characters of an order that the page shows
+COMMAND_LENGTH = 160  # The page shows so many characters of a command.
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:62em;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.3em .8em;
 border-bottom:1px solid #ddd;text-align:left}
@@ -22,7 +22,7 @@
 
 
 def write_report(folder: Path, plan: Plan, verdict: Verdict) -> Path:
-    """Writes charts, `verdict.json` and `report.html` into the run folder; returns the page's path."""
+    """Writes the charts, `verdict.json` and `report.html` to the run folder; returns the path of the page."""
     records = load_records(folder)
     begin_us = find_begin_us(records, default=0)
     for chart in CHARTS:
@@ -36,27 +36,28 @@
 
 def _format_page(folder: Path, plan: Plan, verdict: Verdict, records: list[Record], begin_us: int) -> str:
     violations = _format_violations(verdict)
-    violations_part = f"<h2>Breaks</h2><ul>{violations}</ul>" if violations else ""
+    violations_part = f"<h2>Violations</h2><ul>{violations}</ul>" if violations else ""
     return f"""<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(plan.name)}</title>
 <style>{STYLE}</style><h1>{html.escape(plan.name)}, seed {plan.seed}</h1>
 {_format_summary(plan, verdict)}
-<table><tr><th>rule</th><th>state</th><th>of its limit used</th><th>occasions</th><th></th></tr>\
+<table><tr><th>rule</th><th>state</th><th>limit used</th><th>occasions</th><th></th></tr>\
 {_format_results(verdict)}</table>
 {violations_part}
-<table><tr><th>class</th><th>gain answered</th></tr>{_format_shares(verdict)}</table>{_format_charts(folder)}
+<table><tr><th>class</th><th>priority weight completed</th></tr>\
+{_format_shares(verdict)}</table>{_format_charts(folder)}
 <h2>Counts</h2><table>{_format_counts(count_events(records))}</table>
-<h2>What was done to it</h2><table><tr><th>s</th><th>to</th><th>order</th></tr>\
+<h2>Steps</h2><table><tr><th>time, s</th><th>target</th><th>command</th></tr>\
 {_format_steps(records, begin_us)}</table></html>"""
 
 
 def _format_summary(plan: Plan, verdict: Verdict) -> str:
     warning = ""
     if not verdict.is_complete:
-        warning = f"<b>The records are not whole: {html.escape(verdict.reason)}</b>"
+        warning = f"<b>The records are incomplete: {html.escape(verdict.reason)}</b>"
     share = f"{100 * verdict.completed_share:.1f}%"
     return f"""<p>{plan.length_us / 1e6:g} s, {len(plan.governors)} governors, \
 {len(plan.replicas)} replicas, {len(plan.proxies)}
-relays; {verdict.requests} transactions, {share} of the gain answered within goal.
+proxies; {verdict.requests} transactions, {share} of the priority weight completed (late ones count in part).
 {warning}</p>"""
 
 
@@ -114,10 +115,10 @@
     rows = []
     for record in records:
         if isinstance(record.event, StepExecuted):
-            order = html.escape(msgspec.json.encode(record.event.command).decode())[:ORDER_LENGTH]
+            command = html.escape(msgspec.json.encode(record.event.command).decode())[:COMMAND_LENGTH]
             row = (
                 f"<tr><td>{(record.time_us - begin_us) / 1e6:.1f}</td>"
-                f"<td>{html.escape(record.event.target)}</td><td><code>{order}</code></td></tr>"
+                f"<td>{html.escape(record.event.target)}</td><td><code>{command}</code></td></tr>"
             )
             rows.append(row)
     return "".join(rows)
--- a/gradehoist/scenario/run_folder.py
+++ b/gradehoist/scenario/run_folder.py
@@ -1,4 +1,4 @@
-"""The files of a run: plan, settings and placement before it, logs and records after it."""
+"""The folder of a run, with the files that its processes read and those that they write."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from gradehoist.settings.fleet import CellPlacement
 from gradehoist.testbed.scenario_plan import Plan
 
-STATE_FOLDERS = ("var", "moves")  # what governors and the migration command store beside the settings
+STATE_FOLDERS = ("var", "moves")  # Governors and the migration command store their state there.
 
 
 @dataclass(frozen=True)
 class RunFolder:
-    """Paths within the folder of a run."""
+    """The paths in the folder of a run."""
 
     path: Path
 
     @property
     def plan(self) -> Path:
-        """The plan, which every test double reads."""
+        """The plan, which all test doubles read."""
         return self.path / "plan.json"
 
     @property
@@ -34,20 +34,20 @@
 
     @property
     def migrations(self) -> Path:
-        """Where migrations and rollouts store their steps."""
+        """The folder in which migrations and rollouts store their steps."""
         return self.path / "moves"
 
     @property
     def records(self) -> Path:
-        """What the runner records."""
+        """The file of the events that the runner records."""
         return self.path / "day.jsonl"
 
     def log(self, process: str) -> Path:
-        """The output of a process."""
+        """Returns the file of the output of a process."""
         return self.path / f"{process}.log"
 
     def prepare(self, scenario: Scenario, plan: Plan) -> None:
-        """Removes what an earlier run left and writes what the processes of this one read."""
+        """Removes the files of an earlier run and writes those that the processes of this run read."""
         self.path.mkdir(parents=True, exist_ok=True)
         for left_over in (*self.path.glob("*.jsonl"), *self.path.glob("*.log")):
             left_over.unlink()
--- a/gradehoist/scenario/runner.py
+++ b/gradehoist/scenario/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: starts every process, carries out the steps of the plan, ends each process."""
+"""Runs a scenario: starts all processes, executes the steps of the plan, and stops the processes."""
 
 from __future__ import annotations
 
@@ -25,18 +25,20 @@
 from gradehoist.testbed.scenario_plan import Plan, Step
 
 PROXY_PREFIX = "relays-"
-# Started before the governors, which watch them.
+# These are started before the governors, which connect to them.
 FIRST_ROLES = ("links", "replicas", "roster")
-SETTLING_TIME_US = 1_500_000  # after the last deadline: load reports and records arrive
-STREAM_START_PAUSE_S = 1.0  # proxies begin their streams before the first request comes
-STEP_INTERVAL_S = 0.1  # the longest pause between two looks at processes and steps
+SETTLING_TIME_US = (
+    1_500_000  # After the last deadline, for load reports and records that are still on their way.
+)
+STREAM_START_PAUSE_S = 1.0  # The proxies begin their streams before the first request arrives.
+MAX_POLL_INTERVAL_S = 0.1  # Between two checks of the processes and the next step.
 COMMAND_TIMEOUT_S = 5.0
 COMMAND_ACCEPTED_STATUS = 204
 
 
 @dataclass(frozen=True)
 class RunProgress:
-    """How far a run has come, its last step in words, and the verdict on what is recorded so far."""
+    """The progress of a run: the completed share, the last step in words, and the verdict so far."""
 
     share: float
     last_step: str
@@ -47,7 +49,7 @@
 
 
 class ScenarioRun:
-    """One run in a folder, which holds plan, settings, logs and records afterwards."""
+    """One run of a scenario; its folder contains the plan, settings, logs and records."""
 
     def __init__(
         self,
@@ -57,14 +59,14 @@
         on_progress: ProgressListener | None = None,
         check_interval_s: float = 0.0,
     ) -> None:
-        """Prepares a run; nothing is started yet.
+        """Creates a run without starting it.
 
         Args:
-            scenario: where the plan is from.
-            plan: what is played.
-            folder: where plan, settings, logs and records are written; those of an earlier run are removed.
-            on_progress: called a few times a second.
-            check_interval_s: how often the records are checked during the run; 0: never.
+            scenario: the scenario that the plan was generated from.
+            plan: the plan to execute.
+            folder: the folder of the run; the files of an earlier run in it are removed.
+            on_progress: called several times a second.
+            check_interval_s: the time between two checks of the records during the run; 0 for no checks.
         """
         self.scenario = scenario
         self.plan = plan
@@ -75,11 +77,11 @@
         self._processes = ProcessGroup(self.folder)
 
     async def execute(self) -> bool:
-        """Plays the run; False where `stop` was set before its end.
+        """Executes the plan; returns False if `stop` was set before its end.
 
         Raises:
-            ScenarioRunError: a process did not come up, ended by itself or rejected a step.
-            OSError: the folder cannot be written.
+            ScenarioRunError: a process did not start, exited during the run, or rejected a command.
+            OSError: the folder can't be written.
         """
         self.folder.prepare(self.scenario, self.plan)
         record = EventRecorder(self.folder.records)
@@ -134,7 +136,7 @@
         last_deadline_us = max(request_class.deadline_us for request_class in self.plan.classes)
         end_us = self.plan.length_us + last_deadline_us + SETTLING_TIME_US
         steps = deque(self.plan.steps)
-        last_step = "begins"
+        last_step = "started"
         while not self.stop.is_set():
             elapsed_us = read_monotonic_us() - begin_us
             while steps and steps[0].at_us <= elapsed_us:
@@ -148,7 +150,7 @@
             if self._on_progress is not None:
                 share = min(1.0, elapsed_us / end_us)
                 self._on_progress(RunProgress(share, last_step, self._checker.verdict))
-            pause_s = STEP_INTERVAL_S
+            pause_s = MAX_POLL_INTERVAL_S
             if steps:
                 pause_s = min(pause_s, max(0.0, (steps[0].at_us - elapsed_us) / 1e6))
             await asyncio.sleep(pause_s)
@@ -173,7 +175,7 @@
             raise CommandRejectedError(step.role, step.command, response.body.decode(errors="replace"))
 
     def _execute_runner_command(self, command: dict[str, object], record: EventRecorder) -> None:
-        """Carries out an order to the runner itself."""
+        """Executes a command that is meant for the runner itself."""
         governor = str(command["governor"])
         match command["do"]:
             case "move":
@@ -207,14 +209,14 @@
         self._processes.start("release", "gradehoist", "cells", "release", settings, *arguments)
 
     def _deploy_command(self, fails: object, slow: object) -> str:
-        """The command that deploys a version to a replica; the rollout fills in the replica."""
+        """Returns the command that deploys a version; the rollout replaces `{worker}` with a replica."""
         module = "gradehoist.testbed.deploy"
         plan = str(self.folder.plan)
         return shlex.join([sys.executable, "-m", module, plan, "{worker}", str(fails), str(slow)])
 
 
 class _PeriodicChecker:
-    """Checks the records of a run in a thread, one check at a time."""
+    """Checks the records of a run at intervals, in a thread and one check at a time."""
 
     def __init__(self, plan: Plan, folder: Path, interval_s: float) -> None:
         self.verdict: Verdict | None = None
@@ -225,7 +227,7 @@
         self._task: asyncio.Task[Verdict | None] | None = None
 
     def update(self, elapsed_s: float) -> None:
-        """Begins a check when it is time for one, and takes the verdict of one that is done."""
+        """Starts a check if one is due, and stores the verdict of a completed one."""
         if self._interval_s and self._task is None and elapsed_s - self._last_s > self._interval_s:
             self._last_s = elapsed_s
             self._task = asyncio.create_task(asyncio.to_thread(self._check))
@@ -234,7 +236,7 @@
             self._task = None
 
     def close(self) -> None:
-        """Gives up a check that is still under way; its thread ends by itself."""
+        """Abandons a running check; its thread runs to its end, but its verdict is dropped."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -243,7 +245,7 @@
         try:
             return check_records(self._plan, load_records(self._folder))
         except ValueError:
-            return None  # a line was half written
+            return None  # A process was writing a record, which was incomplete.
 
 
 def _governor_process(name: str) -> str:
@@ -251,7 +253,7 @@
 
 
 def _describe_step(step: Step) -> str:
-    """An order in a few words: its name, and what it is for."""
+    """Returns the command's name and its targets: its first list, or else its governor."""
     targets: list[object] = [step.command.get("governor", "")]
     for value in step.command.values():
         if isinstance(value, list):
