--- a/gradehoist/scenario/checks/__init__.py
+++ b/gradehoist/scenario/checks/__init__.py
@@ -1,6 +1,6 @@
-"""Checkers of a scenario run: each judges one safety rule from what the test doubles recorded.
+"""Checks the safety rules of a scenario run on the events that the test doubles recorded.
 
-`records` reads the recorded events, `replay` reconstructs the state of the run from them, one module a rule
-holds its checker, and `run_check` runs them all and builds the verdict of `verdict`. Nothing here starts a
-process or trusts what a governor says of itself.
+`records` reads the events, and `replay` reconstructs the state of the run from them. Each rule has a module
+with its checker. `run_check` runs all checkers and builds the verdict, whose types are in `verdict`. Nothing
+here starts a process or relies on what a governor reports about itself.
 """
--- a/gradehoist/scenario/checks/channel.py
+++ b/gradehoist/scenario/checks/channel.py
@@ -1,4 +1,4 @@
-"""Rule 5: a governor's channel keeps its limits on waiting lines, on its pace and on messages to a proxy."""
+"""Rule 5: a governor's channel keeps its limits on queued lines, sending rate and messages per proxy."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from gradehoist.scenario.checks.verdict import Rule
 from gradehoist.testbed.scenario_plan import SafetyRules
 
-# A message's creation and its application are stamped by two processes, each some time after the fact.
+# The times of a message's creation and application are recorded by two processes, each with some delay.
 PACE_TOLERANCE_US = 5_000
-# The costs are sums of floating-point numbers.
+# The costs are sums of floating-point numbers, which are subject to rounding.
 QUEUE_TOLERANCE_LINES = 1e-6
 
 
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True)
 class QueueState:
-    """The channel after a message was queued: when its last line will be out, and how many lines wait."""
+    """The channel after a message was queued: the time at which its last line is sent, and its length."""
 
     sent_us: float
     waiting_lines: float
 
 
 def replay_channel(messages: Iterable[QueuedMessage], lines_per_s: float) -> Iterator[QueueState]:
-    """Replays a channel at its pace; the messages are in the order of their creation."""
-    queue = deque[tuple[float, float]]()  # when a message is out, and its lines
+    """Replays a channel that sends at the given rate; the messages must be in the order of creation."""
+    queue = deque[tuple[float, float]]()  # The time at which a message is sent, and its lines.
     sent_us = 0.0
     waiting_lines = 0.0
     for message in messages:
@@ -50,7 +50,7 @@
 
 
 def minimum_cost_lines(message: Message, rules: SafetyRules) -> float:
-    """The least cost of a message by its content: overhead, a line a delta, and the lines of tables."""
+    """Returns the minimum cost of a message: its overhead, one line per delta, and the lines of tables."""
     lines = rules.message_overhead_lines + len(message.deltas)
     if message.revision is not None:
         lines += 1
@@ -64,35 +64,35 @@
 
 @dataclass(frozen=True)
 class AppliedMessage:
-    """A message and the record of a proxy that applied it."""
+    """A message, and the record of its application by a proxy."""
 
     record: Record
     event: MessageApplied
 
     @property
     def message(self) -> Message:
-        """The message itself."""
+        """The applied message."""
         return self.event.message
 
 
 class ChannelChecker(Checker):
-    """Replays each epoch of a governor from the stamps of its messages and the lines that came."""
+    """Replays the channel of each epoch of a governor from the times and the contents of its messages."""
 
     rule = Rule.CHANNEL
     reason_without_occasion = "no relay applied a message"
 
     def __init__(self, context: RunContext) -> None:
-        """Begins without messages."""
+        """Creates a checker that has seen no messages."""
         super().__init__(context)
         self.applied_by_epoch: dict[str, list[AppliedMessage]] = defaultdict(list)
 
     def on_record(self, record: Record) -> None:
-        """Notes a message."""
+        """Stores applied messages."""
         if isinstance(record.event, MessageApplied):
             self.applied_by_epoch[record.event.epoch].append(AppliedMessage(record, record.event))
 
     def finish(self, end_us: int) -> None:
-        """Judges each epoch."""
+        """Checks the messages of each epoch."""
         for applied in self.applied_by_epoch.values():
             first_by_message: dict[tuple[str, int, int], AppliedMessage] = {}
             for each in applied:
@@ -109,7 +109,7 @@
         return minimum_cost_lines(applied.message, self.context.plan.rules)
 
     def _check_queue(self, ordered: list[AppliedMessage]) -> None:
-        """Compares the waiting lines with their limit; a message can't come before it was created."""
+        """Checks the queue length, and that no message is applied before its creation."""
         rules = self.context.plan.rules
         queued = [
             QueuedMessage(
@@ -132,10 +132,11 @@
                 )
 
     def _check_pace(self, ordered: list[AppliedMessage]) -> None:
-        """Compares arrivals with the pace, so that false stamps or costs are found.
+        """Checks the times of application against the sending rate, which reveals false times or costs.
 
-        Whatever the order within one reply: what was created since `busy_since_us` and has come by now must
-        fit between the two at the stated pace. What was created earlier may have been out before.
+        The lines that were created since `busy_since_us` and have been applied by now must have been sent in
+        between at the stated rate, whatever the order of the messages within one reply. Messages that were
+        created earlier may have been sent earlier and don't count.
         """
         lines_per_s = self.context.plan.rules.lines_per_s
         busy_since_us = 0
@@ -154,7 +155,7 @@
                 self.add_violation(time_us, description, [applied.record], proxy=applied.event.proxy)
 
     def _check_message_rates(self, ordered: list[AppliedMessage]) -> None:
-        """Compares the messages of each stream within a sliding window with their limit."""
+        """Checks the number of messages of each stream within a sliding window."""
         rules = self.context.plan.rules
         by_stream: dict[tuple[str, int], list[AppliedMessage]] = defaultdict(list)
         for applied in ordered:
--- a/gradehoist/scenario/checks/checker.py
+++ b/gradehoist/scenario/checks/checker.py
@@ -1,4 +1,4 @@
-"""The base of the checkers: what they share is how a result is built from occasions and violations."""
+"""The base class of the checkers, which builds the result of a rule."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from gradehoist.scenario.checks.verdict import RULE_TITLES, Rule, RuleResult, RuleState, Violation
 from gradehoist.testbed.scenario_plan import Plan
 
-VIOLATIONS_LIMIT = 50  # more of one rule say nothing new, and a verdict has to stay readable
+# Further violations of a rule are left out, so that the verdict stays readable.
+VIOLATIONS_LIMIT = 50
 NO_OCCASION = "the day gave no occasion"
 
 
 @dataclass(frozen=True)
 class RunContext:
-    """What every checker of a run reads: the plan, the reconstructed state and when the scenario began."""
+    """What all checkers of a run share: its plan, its reconstructed state and the time of its beginning."""
 
     plan: Plan
     fleet: Fleet
@@ -26,27 +27,35 @@
 
 
 class Checker(ABC):
-    """Judges one rule. `on_record` sees each record after the replay applied it, then `finish` is called."""
+    """Checks one rule.
+
+    `on_record` is called for each record, after the replay has applied it. `finish` is called at the end.
+
+    Attributes:
+        rule: the rule that is checked.
+        reason_without_occasion: the reason in the result if nothing in the run was subject to the rule.
+    """
 
     rule: Rule
     reason_without_occasion = NO_OCCASION
 
     def __init__(self, context: RunContext) -> None:
-        """Prepares an empty result."""
+        """Creates a checker with an empty result."""
         self.context = context
         self.result = RuleResult(rule=self.rule, title=RULE_TITLES[self.rule])
-        self.is_undecidable = False  # the records lack what the rule needs; `result.reason` says what
+        # Set if the records do not contain what the rule needs; `result.reason` then says what is missing.
+        self.is_undecidable = False
 
     @abstractmethod
     def on_record(self, record: Record) -> None:
-        """Takes note of a record, or judges it."""
+        """Stores what the rule needs of a record, or checks it."""
 
     def finish(self, end_us: int) -> None:
-        """Judges what needs all the records; `end_us` is the time of the last one."""
+        """Checks what depends on all records; `end_us` is the time of the last one."""
         return
 
     def update_limit_used(self, share: float) -> None:
-        """Notes how much of the rule's limit was used up at some time."""
+        """Keeps the largest share of the rule's limit that was used at any time."""
         self.result.limit_used = max(self.result.limit_used, share)
 
     def add_violation(
@@ -58,7 +67,7 @@
         proxy: str = "",
         replica: str = "",
     ) -> None:
-        """Adds a violation, up to a limit of `VIOLATIONS_LIMIT`."""
+        """Adds a violation, unless there are already `VIOLATIONS_LIMIT`."""
         if len(self.result.violations) >= VIOLATIONS_LIMIT:
             return
         violation = Violation(
@@ -71,7 +80,7 @@
         self.result.violations.append(violation)
 
     def build_result(self, missing_records: str) -> RuleResult:
-        """The result; `missing_records` says what the records lack, empty where they are complete."""
+        """Returns the result; `missing_records` says which records are missing, and is empty if none are."""
         result = self.result
         result.limit_used = round(result.limit_used, 4)
         if result.violations:
--- a/gradehoist/scenario/checks/completion.py
+++ b/gradehoist/scenario/checks/completion.py
@@ -1,4 +1,4 @@
-"""How much of the requests' priority weight was completed within the latency objective."""
+"""Computes the share of the requests' priority weight that was completed in time."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclass
 class CompletedWeight:
-    """Priority weight of the requests that were completed in time, and of all requests."""
+    """The priority weight of completed requests (late ones count in part), and of all requests."""
 
     completed: float = 0.0
     requested: float = 0.0
 
     @property
     def share(self) -> float:
-        """The completed share, rounded as it is stored; 0 without requests."""
+        """The completed share, rounded for storage; 0 if there are no requests."""
         return round(self.completed / self.requested, 4) if self.requested else 0.0
 
 
 def earned_weight(request_class: RequestClassPlan, status: int, elapsed_us: int) -> float:
-    """The weight that a response earns: less after the latency objective, none after the deadline."""
+    """Returns the weight that a response counts: less after the objective, none after the deadline."""
     if status != OK_STATUS:
         return 0.0
     if elapsed_us <= request_class.latency_objective_us:
@@ -36,7 +36,7 @@
 
 
 def completed_by_class(plan: Plan, records: Iterable[Record]) -> dict[str, CompletedWeight]:
-    """Completed weight for each class of the plan."""
+    """Returns the completed weight of each class of the plan."""
     classes = {request_class.name: request_class for request_class in plan.classes}
     weights = {name: CompletedWeight() for name in classes}
     for record in records:
--- a/gradehoist/scenario/checks/drain.py
+++ b/gradehoist/scenario/checks/drain.py
@@ -1,4 +1,4 @@
-"""Rule 3: within the grace after a drain was announced, a governor's proxies stop sending to the replica."""
+"""Rule 3: a governor's proxies stop sending to a replica within the grace after its drain was announced."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class DrainChecker(Checker):
-    """Judges each attempt by the phase that the proxy's governor knew its replica to be in."""
+    """Checks each attempt against the phase of the replica of which the proxy's governor was notified."""
 
     rule = Rule.DRAIN
 
     def on_record(self, record: Record) -> None:
-        """Judges an attempt."""
+        """Checks an attempt."""
         if isinstance(record.event, AttemptSent):
             self._check_attempt(record, record.event)
 
     def finish(self, end_us: int) -> None:
-        """Counts the drains that were announced."""
+        """Counts the announced drains."""
         views = self.context.replay.endpoint_views.values()
         self.result.occasions = sum(view.withdrawals for view in views)
 
--- a/gradehoist/scenario/checks/duplicate_effects.py
+++ b/gradehoist/scenario/checks/duplicate_effects.py
@@ -21,21 +21,22 @@
 
 
 class DuplicateEffectsChecker(Checker):
-    """Judges requests by their effects, and retries by whether an earlier attempt may have run."""
+    """Checks that no request has two effects, and that none is retried after an attempt that may have run."""
 
     rule = Rule.DUPLICATE_EFFECTS
 
     def __init__(self, context: RunContext) -> None:
-        """Begins without requests."""
+        """Creates a checker that has seen no requests."""
         super().__init__(context)
         self.attempts: dict[tuple[str, str], list[tuple[Record, AttemptSent]]] = defaultdict(list)
         self.effects: dict[str, list[Record]] = defaultdict(list)
-        self.arrived_at: dict[str, set[str]] = defaultdict(set)  # replicas by request, also below
+        # The replicas at which attempts of a request arrived, were shed or were fenced, by request.
+        self.arrived_at: dict[str, set[str]] = defaultdict(set)
         self.shed_at: dict[str, set[str]] = defaultdict(set)
         self.fenced_at: dict[str, set[str]] = defaultdict(set)
 
     def on_record(self, record: Record) -> None:
-        """Notes what became of an attempt."""
+        """Stores attempts and their outcomes."""
         match record.event:
             case AttemptSent(proxy=proxy, request=request):
                 self.attempts[proxy, request].append((record, record.event))
@@ -50,7 +51,7 @@
                 self.effects[request].append(record)
 
     def finish(self, end_us: int) -> None:
-        """Judges every request that is not idempotent."""
+        """Checks every request that is not idempotent."""
         for (proxy, request), attempts in self.attempts.items():
             request_class = self.context.fleet.classes[attempts[0][1].request_class]
             if request_class.idempotency == Idempotency.IDEMPOTENT.value:
--- a/gradehoist/scenario/checks/migrations.py
+++ b/gradehoist/scenario/checks/migrations.py
@@ -1,4 +1,4 @@
-"""Rule 6: each write of a tenant takes effect once over all cells, none at a cell it migrated from."""
+"""Rule 6: each write of a tenant takes effect once in all cells, and none at a cell that it migrated from."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 
 @dataclass(frozen=True)
 class Write:
-    """The effect of a tenant's write."""
+    """A write of a tenant that took effect."""
 
     record: Record
     effect: EffectDone
 
     @property
     def key(self) -> str:
-        """The key of the write: a client's repetitions of a request share what stands before the dot."""
+        """The key of the write: the request ID up to the dot, which all retries of a client share."""
         return self.effect.request.partition(".")[0]
 
 
 @dataclass(frozen=True)
 class TenantPlacement:
-    """The cell that a tenant is in from a generation on."""
+    """The cell of a tenant since a generation."""
 
     generation: int
     cell: str
 
 
 class MigrationsChecker(Checker):
-    """Judges by the effects at the replicas, and by the writes that clients were told are done."""
+    """Checks the effects at the replicas, and the writes whose success was reported to clients."""
 
     rule = Rule.MIGRATIONS
 
     def __init__(self, context: RunContext) -> None:
-        """Begins without writes."""
+        """Creates a checker that has seen no writes."""
         super().__init__(context)
-        self.effects: dict[str, list[Write]] = defaultdict(list)  # by request, in the order of first effects
+        self.effects: dict[str, list[Write]] = defaultdict(list)  # By request.
         self.completed: list[tuple[Record, RequestCompleted]] = []
 
     def on_record(self, record: Record) -> None:
-        """Notes effects and completed requests."""
+        """Stores effects and completed requests."""
         match record.event:
             case EffectDone(request=request):
                 self.effects[request].append(Write(record, record.event))
@@ -53,7 +53,7 @@
                 self.completed.append((record, record.event))
 
     def finish(self, end_us: int) -> None:
-        """Judges generations, duplicates and lost writes."""
+        """Checks generations, duplicates and lost writes."""
         writes = [
             write for writes in self.effects.values() for write in writes if write.effect.tenant is not None
         ]
@@ -68,7 +68,7 @@
             self._check_lost_writes(writes_by_key)
 
     def _check_generations(self, writes: list[Write]) -> None:
-        """After the first effect of a generation none of an earlier one is at another cell."""
+        """Checks that no earlier generation has an effect at another cell once a later one had an effect."""
         latest: dict[str, TenantPlacement] = {}
         for write in writes:
             effect = write.effect
--- a/gradehoist/scenario/checks/overload.py
+++ b/gradehoist/scenario/checks/overload.py
@@ -9,16 +9,17 @@
 from gradehoist.scenario.checks.records import AttemptArrived, Record, ReplicaOverloaded
 from gradehoist.scenario.checks.verdict import Rule
 
-# An overload counts where at least 2/3 of the work in the window came by governors that knew of the start;
-# the others can't be blamed. Two integers, so that work at just 2/3 counts whatever the rounding.
+# An overload counts if at least 2/3 of the work in the window came from proxies whose governors knew of the
+# start; the other governors could not have prevented it. The share is given as two integers, so that rounding
+# does not exclude a share of exactly 2/3.
 KNOWN_NUMERATOR = 2
 KNOWN_DENOMINATOR = 3
-CRASH_WINDOW_US = 100_000  # a death this near to an arrival is of the load that it was part of
+CRASH_WINDOW_US = 100_000  # A crash this close to an arrival is attributed to the load of its window.
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """Work that came to a replica during its warm-up; `is_noticed` where its governor knew of the start."""
+    """Work that arrived during a warm-up; `is_start_known` if the proxy's governor knew of the start."""
 
     record: Record
     attempt: AttemptArrived
@@ -26,18 +27,18 @@
 
 
 class OverloadChecker(Checker):
-    """Sums the work in a sliding window for each start of a replica."""
+    """Checks the sum of the work in a sliding window after each cold start of a replica."""
 
     rule = Rule.OVERLOAD
 
     def __init__(self, context: RunContext) -> None:
-        """Begins without arrivals."""
+        """Creates a checker that has seen no arrivals."""
         super().__init__(context)
-        self.arrivals: dict[tuple[str, int], list[Arrival]] = defaultdict(list)  # by replica and incarnation
+        self.arrivals: dict[tuple[str, int], list[Arrival]] = defaultdict(list)  # By replica and incarnation.
         self.crashes: list[tuple[Record, ReplicaOverloaded]] = []
 
     def on_record(self, record: Record) -> None:
-        """Notes arrivals at replicas that warm up, and deaths by overload."""
+        """Stores arrivals at replicas that are warming up, and crashes by overload."""
         match record.event:
             case AttemptArrived(replica=replica, incarnation=incarnation, proxy=proxy, warmth=warmth):
                 if warmth < 1:
@@ -48,7 +49,7 @@
                 self.crashes.append((record, record.event))
 
     def finish(self, end_us: int) -> None:
-        """Judges each start of a replica."""
+        """Checks each cold start of a replica."""
         for (replica, incarnation), arrivals in self.arrivals.items():
             self.result.occasions += 1
             self._check_warmup(replica, incarnation, arrivals)
@@ -58,7 +59,7 @@
             )
 
     def _knows_of_start(self, proxy: str, replica: str, time_us: int) -> bool:
-        """Whether the proxy's governor was notified of the replica's last start, in time to act on it."""
+        """Returns whether the proxy's governor knew of the replica's last start early enough to act."""
         replay = self.context.replay
         stream = replay.streams.get(proxy)
         if stream is None:
@@ -66,7 +67,7 @@
         view = replay.endpoint_views[stream.governor]
         known = view.incarnations.get(replica)
         if known is None or known.since_us < replay.cold_starts_us.get(replica, 0):
-            return False  # it was notified of an earlier start only
+            return False  # The governor was only notified of an earlier start.
         if stream.last_created_us > known.since_us:
             return True
         return time_us - max(known.since_us, stream.since_us) > self.context.plan.rules.drain_grace_us
@@ -83,7 +84,7 @@
             known_ms = sum(each.attempt.work_ms for each in window if each.is_start_known)
             if known_ms < work_ms * KNOWN_NUMERATOR / KNOWN_DENOMINATOR:
                 continue
-            capacity = replica.cores * replica.speed * arrival.attempt.warmth * 1e-3  # ms of work a µs
+            capacity = replica.cores * replica.speed * arrival.attempt.warmth * 1e-3  # ms of work per µs
             budget_ms = rules.overload_multiple * capacity * rules.overload_window_us
             self.update_limit_used(work_ms / budget_ms)
             crashes = self._crashes_near(name, arrival.record.time_us)
--- a/gradehoist/scenario/checks/placement.py
+++ b/gradehoist/scenario/checks/placement.py
@@ -1,4 +1,4 @@
-"""Placement: a class is sent only to the zones, kinds and cell that are open to it."""
+"""Placement rule: a class is only sent to the zones, kinds and cell that are allowed for it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class PlacementChecker(Checker):
-    """Judges each attempt by the replica that it was sent to."""
+    """Checks the replica of each attempt."""
 
     rule = Rule.PLACEMENT
 
     def on_record(self, record: Record) -> None:
-        """Judges an attempt."""
+        """Checks an attempt."""
         if isinstance(record.event, AttemptSent):
             self.result.occasions += 1
             self._check_class(record, record.event)
@@ -33,7 +33,7 @@
     def _check_cell(self, record: Record, attempt: AttemptSent) -> None:
         if not attempt.cell or self.context.plan.cell_by_replica.get(attempt.replica) == attempt.cell:
             return
-        # A proxy that has no table of the cell is on its default tables, which know no cells.
+        # A proxy without a table for the cell uses its default tables, which do not distinguish cells.
         label = class_label(attempt.cell, attempt.request_class)
         if label in self.context.replay.proxy_states[attempt.proxy].table_by_class:
             description = f"sent for cell {attempt.cell}"
--- a/gradehoist/scenario/checks/records.py
+++ b/gradehoist/scenario/checks/records.py
@@ -1,7 +1,7 @@
-"""Typed events read from the JSON lines that the test doubles and the runner recorded.
+"""Reads the events that the test doubles and the runner recorded as JSON lines.
 
-The keys on disk are older than the names used here; each type states the stored key of a renamed field. Only
-fields that a checker, a chart or a count needs are decoded. `Record.stored` holds the whole object as read.
+The stored keys are kept for compatibility and differ from the names in the code. Only the fields that a
+checker, a chart or a count needs are decoded; `Record.stored` contains the whole object.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 from gradehoist.protocol.feed import Message
 
 StoredRecord = dict[str, Any]
-Incarnation = int | str  # the endpoint list writes a text; numbers are in records made by hand
-ENDPOINT_LIST_ROLE = "roster"  # the process whose notifications to governors are recorded as `told`
+Incarnation = int | str  # The endpoint list writes strings; some records made by hand contain numbers.
+ENDPOINT_LIST_ROLE = "roster"  # The process that records its notifications to governors as `told`.
 
 
 class ScenarioBegan(msgspec.Struct, frozen=True):
-    """All processes were up and the clients were allowed to send."""
+    """All processes were ready, and the clients began to send."""
 
 
 class StepExecuted(msgspec.Struct, frozen=True):
-    """The runner carried out a step of the plan."""
+    """The runner executed a step of the plan."""
 
     target: str
     command: dict[str, object] = msgspec.field(name="do")
 
 
 class ProcessEnded(msgspec.Struct, frozen=True):
-    """A process ended in order, so its records are complete."""
+    """A process ended normally, so its records are complete."""
 
 
 class ProcessFailed(msgspec.Struct, frozen=True):
-    """A process raised an exception, so its records are not complete."""
+    """A process raised an exception, so its records are incomplete."""
 
     reason: str
 
 
 class ProxyStarted(msgspec.Struct, frozen=True):
-    """A proxy started with weights by replica for each class, used until a governor binds it to a table."""
+    """A proxy started; it uses its default weights by class and replica until a governor binds it."""
 
     proxy: str = msgspec.field(name="relay")
     default_tables: dict[str, dict[str, float]] = msgspec.field(name="standing")
 
 
 class ProxyStopped(msgspec.Struct, frozen=True):
-    """A proxy stopped and forgot its tables."""
+    """A proxy stopped and lost its tables."""
 
     proxy: str = msgspec.field(name="relay")
 
@@ -84,7 +84,7 @@
 
 
 class EndpointsNotified(msgspec.Struct, frozen=True):
-    """The endpoint list notified a governor: by replica its phase and its incarnation."""
+    """The endpoint list notified a governor of the phase and the incarnation of replicas."""
 
     governor: str = msgspec.field(name="reader")
     is_snapshot: bool = msgspec.field(name="whole")
@@ -92,14 +92,14 @@
 
 
 class ReplicaStarted(msgspec.Struct, frozen=True):
-    """A replica started, `is_cold` where it has to warm up."""
+    """A replica started; it has to warm up if `is_cold` is set."""
 
     replica: str
     is_cold: bool = msgspec.field(name="cold")
 
 
 class ReplicaOverloaded(msgspec.Struct, frozen=True):
-    """A replica was given more work during its warm-up than it could bear, and died of it."""
+    """A replica crashed because it received too much work during its warm-up."""
 
     replica: str
 
@@ -116,7 +116,7 @@
 
 
 class AttemptArrived(msgspec.Struct, frozen=True):
-    """A replica read an attempt. `warmth` is the share of its full speed, `work_ms` is at a speed of 1."""
+    """A replica received an attempt; `warmth` is its share of full speed, `work_ms` the work at speed 1."""
 
     replica: str
     proxy: str = msgspec.field(name="relay")
@@ -134,7 +134,7 @@
 
 
 class WriteFenced(msgspec.Struct, frozen=True):
-    """A replica did not run a write, for one of the reasons of `migration.WriteDecision`."""
+    """A replica did not run a write; `reason` is the value of a `cells.assignment.WriteDecision`."""
 
     replica: str
     request: str = msgspec.field(name="tx")
@@ -142,7 +142,7 @@
 
 
 class EffectDone(msgspec.Struct, frozen=True):
-    """A request took effect at a replica; the write of a tenant names its cell and its generation."""
+    """A request took effect at a replica; a tenant's write also has its cell and its generation."""
 
     replica: str
     request: str = msgspec.field(name="tx")
@@ -152,11 +152,11 @@
 
 
 class RequestRejected(msgspec.Struct, frozen=True):
-    """A proxy rejected a request by itself."""
+    """A proxy rejected a request without sending it to a replica."""
 
 
 class RequestCompleted(msgspec.Struct, frozen=True):
-    """A client has the response to a request, or has given up; `began_us` is when it first sent it."""
+    """A client got the final response to a request, or gave up; its first attempt was at `began_us`."""
 
     request: str = msgspec.field(name="tx")
     proxy: str = msgspec.field(name="relay")
@@ -166,7 +166,7 @@
 
 
 class OtherEvent(msgspec.Struct, frozen=True):
-    """An event that nothing here evaluates."""
+    """An event of a type that is not evaluated."""
 
 
 Event = (
@@ -218,7 +218,7 @@
 
 
 class RecordHeader(msgspec.Struct, frozen=True):
-    """What every stored record has."""
+    """The fields that every stored record has."""
 
     time_us: int = msgspec.field(name="t")
     event: str = msgspec.field(name="e")
@@ -228,7 +228,7 @@
 class Record:
     """An event of the process `role` at `time_us` (µs of the machine's monotonic clock).
 
-    `stored` is the object that was read, with the role added: the evidence in a violation.
+    `stored` is the object that was read, with the role added; violations contain it as evidence.
     """
 
     time_us: int
@@ -246,7 +246,7 @@
     header = msgspec.convert(stored, RecordHeader)
     event_type = EVENT_TYPES.get(header.event, OtherEvent)
     if event_type is EndpointsNotified and role != ENDPOINT_LIST_ROLE:
-        event_type = OtherEvent  # other processes use the same key for orders that they received
+        event_type = OtherEvent  # Other processes use the same name for commands that they received.
     event = cast(Event, msgspec.convert(stored, event_type))
     return Record(time_us=header.time_us, role=role, event=event, stored={**stored, "role": role})
 
@@ -260,7 +260,7 @@
                 records.append(parse_record(decoder.decode(line), path.stem))
             except msgspec.MsgspecError as error:
                 if not line.endswith(b"\n"):
-                    continue  # the process was killed while it wrote its last record
+                    continue  # The process was killed while it wrote its last record.
                 raise ValueError(f"{path}:{number}: not a record: {error}") from None
     return records
 
@@ -269,8 +269,8 @@
     """Reads the records of all processes of a run folder, in order of time.
 
     Raises:
-        ValueError: a record cannot be read; the text names its file and line.
-        OSError: a file cannot be read.
+        ValueError: a record is invalid; the message contains its file and line.
+        OSError: a file can't be read.
     """
     records: list[Record] = []
     for path in sorted(folder.glob("*.jsonl")):
@@ -280,7 +280,7 @@
 
 
 def find_begin_us(records: list[Record], default: int) -> int:
-    """The time at which the scenario began, or `default` where the records do not say."""
+    """Returns the time at which the scenario began, or `default` if it is not recorded."""
     for record in records:
         if isinstance(record.event, ScenarioBegan):
             return record.time_us
--- a/gradehoist/scenario/checks/replay.py
+++ b/gradehoist/scenario/checks/replay.py
@@ -1,6 +1,6 @@
-"""The state of a run, reconstructed record by record: streams, tables of the proxies, endpoint lists.
+"""Reconstructs the state of a run from its records: streams, the proxies' tables, and endpoint lists.
 
-No rule is judged here; the checkers read this state after each record.
+The checkers read the state after each record.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class Fleet:
-    """What a plan says of replicas, proxies and classes, by name."""
+    """The replicas, proxies and classes of a plan by name."""
 
     def __init__(self, plan: Plan) -> None:
-        """Indexes the plan."""
+        """Builds the indexes."""
         self.replicas: dict[str, ReplicaPlan] = {replica.name: replica for replica in plan.replicas}
         self.zone_by_proxy = {proxy.name: proxy.zone for proxy in plan.proxies}
         self.classes: dict[str, RequestClassPlan] = {
@@ -42,7 +42,7 @@
         }
 
     def is_allowed(self, request_class: RequestClassPlan, replica: ReplicaPlan, proxy: str) -> bool:
-        """Whether the rules of placement let the proxy send the class to the replica."""
+        """Returns whether the proxy may send the class to the replica by its zones and kinds."""
         proxy_zone = self.zone_by_proxy[proxy]
         if request_class.allowed_zones is not None and replica.zone not in request_class.allowed_zones:
             return False
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class ClassInCell:
-    """A class as the tables of one cell name it; the cell is empty in a run without cells."""
+    """A class in one cell, and its label in the tables; the cell is empty in a run without cells."""
 
     cell: str
     label: str
@@ -61,7 +61,7 @@
 
 
 def list_classes_by_cell(plan: Plan) -> list[ClassInCell]:
-    """Every class in every cell, in the order of the plan."""
+    """Returns every class in every cell, in the order of the plan."""
     return [
         ClassInCell(cell=cell, label=class_label(cell, request_class.name), request_class=request_class)
         for cell in plan.cells or ("",)
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class PhaseSince:
-    """A replica's phase and the time of the notification of it."""
+    """A replica's phase, and the time of the notification from which it counts."""
 
     phase: str
     since_us: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True)
 class IncarnationSince:
-    """A replica's incarnation and the time of the first notification of it."""
+    """A replica's incarnation, and the time of the first notification of it."""
 
     incarnation: Incarnation
     since_us: int
@@ -87,14 +87,14 @@
 
 @dataclass
 class EndpointView:
-    """The endpoint list as one governor was notified of it."""
+    """The endpoint list as known to one governor."""
 
     phases: dict[str, PhaseSince] = field(default_factory=dict)
     incarnations: dict[str, IncarnationSince] = field(default_factory=dict)
-    withdrawals: int = 0  # how often a replica began to drain or was gone
+    withdrawals: int = 0  # The number of times that a replica began to drain or was gone.
 
     def apply(self, event: EndpointsNotified, time_us: int) -> None:
-        """Takes over a notification; a snapshot without a known replica says that it is gone."""
+        """Applies a notification; a known replica that a snapshot does not contain is gone."""
         if event.is_snapshot:
             for replica in self.phases:
                 if replica not in event.endpoints:
@@ -110,7 +110,7 @@
         if known is not None and known.phase == phase:
             return
         if known is not None and known.phase in WITHDRAWN_PHASES and phase in WITHDRAWN_PHASES:
-            # The drain grace counts from the first of the two phases.
+            # The drain grace is counted from the first of the two phases.
             self.phases[replica] = PhaseSince(phase, known.since_us)
             return
         self.phases[replica] = PhaseSince(phase, time_us)
@@ -120,35 +120,35 @@
 
 @dataclass
 class Stream:
-    """A proxy's stream from a governor."""
+    """A stream from a governor to a proxy."""
 
     governor: str
     since_us: int
-    last_created_us: int = 0  # when the governor created the message that was applied last
+    last_created_us: int = 0  # The creation time of the message that was applied last.
 
 
 class Replay:
-    """The state after each record that `apply` has been given, in order of time."""
+    """The state after the records given to `apply`, which must be in order of time."""
 
     def __init__(self) -> None:
-        """Begins with nothing running."""
-        self.streams: dict[str, Stream] = {}  # by proxy
+        """Creates a state without streams."""
+        self.streams: dict[str, Stream] = {}  # By proxy.
         self.proxy_states: dict[str, ProxyState] = defaultdict(ProxyState)
-        self.endpoint_views: dict[str, EndpointView] = defaultdict(EndpointView)  # by governor
-        self.cold_starts_us: dict[str, int] = {}  # by replica, the last one
-        self.ended_streams: list[str] = []  # proxies whose stream the last record ended
+        self.endpoint_views: dict[str, EndpointView] = defaultdict(EndpointView)  # By governor.
+        self.cold_starts_us: dict[str, int] = {}  # The last cold start, by replica.
+        self.ended_streams: list[str] = []  # The proxies whose stream was ended by the last record.
 
     def view_of(self, proxy: str) -> EndpointView | None:
-        """The endpoint list of the governor that the proxy has a stream from; None without a stream."""
+        """Returns the endpoint list of the governor that the proxy has a stream from, or None."""
         stream = self.streams.get(proxy)
         return None if stream is None else self.endpoint_views[stream.governor]
 
     def proxies_of(self, governor: str) -> list[str]:
-        """The proxies with a stream from the governor, in the order in which these began."""
+        """Returns the proxies with a stream from the governor, oldest stream first."""
         return [proxy for proxy, stream in self.streams.items() if stream.governor == governor]
 
     def apply(self, record: Record) -> None:
-        """Brings the state up to a record."""
+        """Applies a record."""
         self.ended_streams = []
         match record.event:
             case StreamBegan(proxy=proxy, governor=governor):
@@ -174,7 +174,7 @@
                 self.cold_starts_us[replica] = record.time_us
 
     def end(self) -> None:
-        """Ends every stream, as the end of the records does."""
+        """Ends all streams at the end of the records."""
         self.ended_streams = []
         for proxy in list(self.streams):
             self._end_stream(proxy)
--- a/gradehoist/scenario/checks/run_check.py
+++ b/gradehoist/scenario/checks/run_check.py
@@ -1,6 +1,6 @@
-"""Checks a run: replays its records through all checkers and builds the verdict.
+"""Runs all checkers on the records of a run and builds the verdict.
 
-A pure function of plan and records, apart from reading the run folder.
+The verdict depends only on the plan and the records.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from gradehoist.scenario.checks.verdict import Verdict
 from gradehoist.testbed.scenario_plan import Plan
 
-# In the order of the verdict.
+# This is also the order of the results in the verdict.
 CHECKERS: tuple[type[Checker], ...] = (
     UnroutableChecker,
     DuplicateEffectsChecker,
@@ -43,10 +43,10 @@
 
 
 def check_records(plan: Plan, records: list[Record]) -> Verdict:
-    """Judges every rule from the records, which are in order of time.
+    """Checks all rules on the records, which must be in order of time.
 
     Raises:
-        KeyError: a record names a replica, proxy or class that the plan does not have.
+        KeyError: a record contains a replica, proxy or class that is not in the plan.
     """
     replay = Replay()
     begin_us = find_begin_us(records, default=records[0].time_us if records else 0)
@@ -81,7 +81,7 @@
 
 
 def _find_missing_records(plan: Plan, records: list[Record]) -> str:
-    """Which process failed or did not record to its end; empty where all did."""
+    """Returns why the records are incomplete, or an empty string if they are complete."""
     for record in records:
         if isinstance(record.event, ProcessFailed):
             return f"{record.role} failed: {record.event.reason}"
@@ -96,8 +96,8 @@
     """Reads and checks a run folder.
 
     Raises:
-        ValueError: the plan or a record cannot be read, or they do not belong together.
-        OSError: a file is missing or cannot be read.
+        ValueError: the plan or a record is invalid, or they do not match.
+        OSError: a file is missing or can't be read.
     """
     plan_path = folder / "plan.json"
     try:
@@ -108,4 +108,6 @@
     try:
         return plan, check_records(plan, records)
     except KeyError as error:
-        raise ValueError(f"{folder}: a record without what it should tell: {error!r}") from None
+        raise ValueError(
+            f"{folder}: the records are inconsistent or do not match the plan: unknown key {error}"
+        ) from None
--- a/gradehoist/scenario/checks/unroutable.py
+++ b/gradehoist/scenario/checks/unroutable.py
@@ -1,4 +1,4 @@
-"""Rule 1: while a warm replica is open to a class, no proxy is without a weight for it for long."""
+"""Rule 1: no proxy is long without weights for a class while a warm replica may serve it."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class UnroutableChecker(Checker):
-    """Measures for each proxy and class how long the class is unroutable."""
+    """Measures how long each class is unroutable at each proxy."""
 
     rule = Rule.UNROUTABLE
 
     def __init__(self, context: RunContext) -> None:
-        """Begins with every class routable."""
+        """Creates a checker for which all classes are routable."""
         super().__init__(context)
         self.classes = list_classes_by_cell(context.plan)
-        self.unroutable_since_us: dict[tuple[str, str], int] = {}  # by proxy and label of the class
-        self.applied: dict[str, list[Record]] = defaultdict(list)  # by proxy
+        self.unroutable_since_us: dict[tuple[str, str], int] = {}  # By proxy and label of the class.
+        self.applied: dict[str, list[Record]] = defaultdict(list)  # By proxy.
 
     def on_record(self, record: Record) -> None:
-        """Brings the times of the proxies that the record concerns up to now."""
+        """Checks the proxies that are affected by the record."""
         self._end_streams(record.time_us)
         match record.event:
             case StreamBegan(proxy=proxy):
@@ -36,7 +36,7 @@
                     self._check_proxy(proxy, record.time_us)
 
     def finish(self, end_us: int) -> None:
-        """Ends the times that still run."""
+        """Ends the intervals that are still open."""
         self._end_streams(end_us)
 
     def _end_streams(self, time_us: int) -> None:
@@ -55,7 +55,7 @@
                 self._end_unroutable(proxy, cell_class.label, time_us)
 
     def _is_unroutable(self, proxy: str, cell_class: ClassInCell, time_us: int) -> bool:
-        """Whether the class has no weight at the proxy though a warm replica is listed that is open to it."""
+        """Returns whether the proxy has no weights for a class that a listed warm replica may serve."""
         state = self.context.replay.proxy_states[proxy]
         label = cell_class.label
         if label not in state.table_by_class:
--- a/gradehoist/scenario/checks/verdict.py
+++ b/gradehoist/scenario/checks/verdict.py
@@ -1,6 +1,6 @@
-"""The result of checking a run, as it is stored in `verdict.json` and printed by `gradehoist audit --json`.
+"""The verdict on a run, which is stored in `verdict.json` and printed by `gradehoist audit --json`.
 
-The stored keys and texts are older than the names used here and stay.
+The stored keys and texts are kept for compatibility and differ from the names in the code.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 class RuleState(StrEnum):
-    """What the records say of a rule; `INCONCLUSIVE` where they are not enough or gave it no occasion."""
+    """The state of a rule; inconclusive if records are missing or nothing was subject to the rule."""
 
     KEPT = "kept"
     BROKEN = "broken"
@@ -44,7 +44,7 @@
 
 
 class Violation(msgspec.Struct):
-    """One violation of a rule: seconds since the scenario began, who, what, and the records that show it."""
+    """A violation of a rule, `at_s` after the beginning of the scenario, with the records as evidence."""
 
     at_s: float = msgspec.field(name="at")
     proxy: str = msgspec.field(name="relay")
@@ -54,7 +54,13 @@
 
 
 class RuleResult(msgspec.Struct):
-    """The result for one rule; `limit_used` is the largest share of its limit that the run came to."""
+    """The result for one rule.
+
+    Attributes:
+        limit_used: the largest share of the rule's limit that the run reached; above 1 it is exceeded.
+        occasions: the number of events or intervals that were subject to the rule.
+        reason: why the rule is inconclusive, or a remark.
+    """
 
     rule: Rule
     title: str = msgspec.field(name="name")
@@ -68,9 +74,10 @@
 class Verdict(msgspec.Struct):
     """The results for all rules.
 
-    `is_complete` says that every process recorded to its end, else `reason` says which did not.
-    `completed_share` is the priority weight of the requests completed within their latency objective over
-    that of all requests; late ones count in part, up to their deadline.
+    Attributes:
+        is_complete: whether the records of all processes are complete; if not, `reason` says why.
+        completed_share: the share of the requests' priority weight that was completed within the latency
+            objective; requests that are late, but within their deadline, count in part.
     """
 
     is_complete: bool = msgspec.field(name="complete")
