--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -530,10 +530,10 @@
 def test_a_short_scenario_run_through_all_processes_keeps_the_rules(tmp_path: Path) -> None:
     definition = read_scenario(REPOSITORY / "scenarios" / "short.kdl")
     scenario_run = ScenarioRun(definition, build_plan(definition, 1), tmp_path)
-    assert asyncio.run(scenario_run.play())
+    assert asyncio.run(scenario_run.execute())
     _, verdict = check_run_folder(tmp_path)
     states = {rule.rule: rule.state for rule in verdict.results}
     assert states.pop(Rule.MIGRATIONS) == "not judged"  # the scenario has no cells
-    assert verdict.is_passed and set(states.values()) == {"kept"}, verdict
+    assert verdict.has_passed and set(states.values()) == {"kept"}, verdict
     assert verdict.requests > 200 and verdict.completed_share > 0.5
     assert not [x for x in psutil.Process().children(recursive=True) if x.status() != psutil.STATUS_ZOMBIE]
