--- a/bench/scenario_shares.py
+++ b/bench/scenario_shares.py
@@ -32,7 +32,7 @@
         ScenarioRun(scenario, build_plan(scenario, seed, *flags), _run_folder(seed, mode))
         for mode, flags in MODES.items()
     ]
-    await asyncio.gather(*(run.play() for run in runs))
+    await asyncio.gather(*(run.execute() for run in runs))
 
 
 def measure_shares() -> None:
--- a/gradehoist/scenario/checks/migrations.py
+++ b/gradehoist/scenario/checks/migrations.py
@@ -1,4 +1,4 @@
-"""Rule 6: each write of a tenant takes effect once over all cells, none at a cell it migrated from."""
+"""Rule 6: each write of a tenant takes effect once in all cells, and none at a cell that it migrated from."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 
 @dataclass(frozen=True)
 class Write:
-    """The effect of a tenant's write."""
+    """A write of a tenant that took effect."""
 
     record: Record
     effect: EffectDone
 
     @property
     def key(self) -> str:
-        """The key of the write: a client's repetitions of a request share what stands before the dot."""
+        """The key of the write: the request ID up to the dot, which all retries of a client share."""
         return self.effect.request.partition(".")[0]
 
 
 @dataclass(frozen=True)
-class Placement:
-    """The cell that a tenant is in from a generation on."""
+class TenantPlacement:
+    """The cell of a tenant since a generation."""
 
     generation: int
     cell: str
 
 
 class MigrationsChecker(Checker):
-    """Judges by the effects at the replicas, and by the writes that clients were told are done."""
+    """Checks the effects at the replicas, and the writes whose success was reported to clients."""
 
     rule = Rule.MIGRATIONS
 
     def __init__(self, context: RunContext) -> None:
-        """Begins without writes."""
+        """Creates a checker that has seen no writes."""
         super().__init__(context)
-        self.effects: dict[str, list[Write]] = defaultdict(list)  # by request, in the order of first effects
+        self.effects: dict[str, list[Write]] = defaultdict(list)  # By request.
         self.completed: list[tuple[Record, RequestCompleted]] = []
 
     def on_record(self, record: Record) -> None:
-        """Notes effects and completed requests."""
+        """Stores effects and completed requests."""
         match record.event:
             case EffectDone(request=request):
                 self.effects[request].append(Write(record, record.event))
@@ -53,7 +53,7 @@
                 self.completed.append((record, record.event))
 
     def finish(self, end_us: int) -> None:
-        """Judges generations, duplicates and lost writes."""
+        """Checks generations, duplicates and lost writes."""
         writes = [
             write for writes in self.effects.values() for write in writes if write.effect.tenant is not None
         ]
@@ -68,20 +68,20 @@
             self._check_lost_writes(writes_by_key)
 
     def _check_generations(self, writes: list[Write]) -> None:
-        """After the first effect of a generation none of an earlier one is at another cell."""
-        latest: dict[str, Placement] = {}
+        """Checks that no earlier generation has an effect at another cell once a later one had an effect."""
+        latest: dict[str, TenantPlacement] = {}
         for write in writes:
             effect = write.effect
             tenant = effect.tenant or ""
-            known = latest.get(tenant, Placement(generation=0, cell=""))
+            known = latest.get(tenant, TenantPlacement(generation=0, cell=""))
             if effect.generation < known.generation and effect.cell != known.cell:
                 description = (
                     f"{tenant}: generation {effect.generation} at {effect.cell} "
                     f"after {known.generation} at {known.cell}"
                 )
-                self.report(write.record.time_us, description, [write.record], replica=effect.replica)
+                self.add_violation(write.record.time_us, description, [write.record], replica=effect.replica)
             if effect.generation > known.generation:
-                latest[tenant] = Placement(generation=effect.generation, cell=effect.cell)
+                latest[tenant] = TenantPlacement(generation=effect.generation, cell=effect.cell)
 
     def _check_duplicates(self, writes_by_key: dict[str, list[Write]]) -> None:
         for key, writes in writes_by_key.items():
@@ -89,7 +89,7 @@
                 last = writes[-1]
                 evidence = [write.record for write in writes]
                 description = f"{key} was written twice"
-                self.report(last.record.time_us, description, evidence, replica=last.effect.replica)
+                self.add_violation(last.record.time_us, description, evidence, replica=last.effect.replica)
 
     def _check_lost_writes(self, writes_by_key: dict[str, list[Write]]) -> None:
         for record, completed in self.completed:
@@ -98,4 +98,4 @@
             request_class = self.context.fleet.classes[completed.request_class]
             if request_class.idempotency == Idempotency.NOT_IDEMPOTENT.value:
                 description = f"{completed.request} was answered and never written"
-                self.report(record.time_us, description, [record], proxy=completed.proxy)
+                self.add_violation(record.time_us, description, [record], proxy=completed.proxy)
--- a/gradehoist/scenario/checks/overload.py
+++ b/gradehoist/scenario/checks/overload.py
@@ -9,56 +9,57 @@
 from gradehoist.scenario.checks.records import AttemptArrived, Record, ReplicaOverloaded
 from gradehoist.scenario.checks.verdict import Rule
 
-# An overload counts where at least 2/3 of the work in the window came by governors that knew of the start;
-# the others can't be blamed. Two integers, so that work at just 2/3 counts whatever the rounding.
-NOTICED_NUMERATOR = 2
-NOTICED_DENOMINATOR = 3
-DEATH_WINDOW_US = 100_000  # a death this near to an arrival is of the load that it was part of
+# An overload counts if at least 2/3 of the work in the window came from proxies whose governors knew of the
+# start; the other governors could not have prevented it. The share is given as two integers, so that rounding
+# does not exclude a share of exactly 2/3.
+KNOWN_NUMERATOR = 2
+KNOWN_DENOMINATOR = 3
+CRASH_WINDOW_US = 100_000  # A crash this close to an arrival is attributed to the load of its window.
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """Work that came to a replica during its warm-up; `is_noticed` where its governor knew of the start."""
+    """Work that arrived during a warm-up; `is_start_known` if the proxy's governor knew of the start."""
 
     record: Record
     attempt: AttemptArrived
-    is_noticed: bool
+    is_start_known: bool
 
 
 class OverloadChecker(Checker):
-    """Sums the work in a sliding window for each start of a replica."""
+    """Checks the sum of the work in a sliding window after each cold start of a replica."""
 
     rule = Rule.OVERLOAD
 
     def __init__(self, context: RunContext) -> None:
-        """Begins without arrivals."""
+        """Creates a checker that has seen no arrivals."""
         super().__init__(context)
-        self.arrivals: dict[tuple[str, int], list[Arrival]] = defaultdict(list)  # by replica and incarnation
-        self.deaths: list[tuple[Record, ReplicaOverloaded]] = []
+        self.arrivals: dict[tuple[str, int], list[Arrival]] = defaultdict(list)  # By replica and incarnation.
+        self.crashes: list[tuple[Record, ReplicaOverloaded]] = []
 
     def on_record(self, record: Record) -> None:
-        """Notes arrivals at replicas that warm up, and deaths by overload."""
+        """Stores arrivals at replicas that are warming up, and crashes by overload."""
         match record.event:
             case AttemptArrived(replica=replica, incarnation=incarnation, proxy=proxy, warmth=warmth):
                 if warmth < 1:
                     is_noticed = self._knows_of_start(proxy, replica, record.time_us)
-                    arrival = Arrival(record=record, attempt=record.event, is_noticed=is_noticed)
+                    arrival = Arrival(record=record, attempt=record.event, is_start_known=is_noticed)
                     self.arrivals[replica, incarnation].append(arrival)
             case ReplicaOverloaded():
-                self.deaths.append((record, record.event))
+                self.crashes.append((record, record.event))
 
     def finish(self, end_us: int) -> None:
-        """Judges each start of a replica."""
+        """Checks each cold start of a replica."""
         for (replica, incarnation), arrivals in self.arrivals.items():
             self.result.occasions += 1
             self._check_warmup(replica, incarnation, arrivals)
-        if self.deaths and not self.result.violations:
+        if self.crashes and not self.result.violations:
             self.result.reason = (
-                f"{len(self.deaths)} fell, mostly by relays whose governor could not know of the start"
+                f"{len(self.crashes)} fell, mostly by relays whose governor could not know of the start"
             )
 
     def _knows_of_start(self, proxy: str, replica: str, time_us: int) -> bool:
-        """Whether the proxy's governor was notified of the replica's last start, in time to act on it."""
+        """Returns whether the proxy's governor knew of the replica's last start early enough to act."""
         replay = self.context.replay
         stream = replay.streams.get(proxy)
         if stream is None:
@@ -66,7 +67,7 @@
         view = replay.endpoint_views[stream.governor]
         known = view.incarnations.get(replica)
         if known is None or known.since_us < replay.cold_starts_us.get(replica, 0):
-            return False  # it was notified of an earlier start only
+            return False  # The governor was only notified of an earlier start.
         if stream.last_created_us > known.since_us:
             return True
         return time_us - max(known.since_us, stream.since_us) > self.context.plan.rules.drain_grace_us
@@ -80,24 +81,24 @@
             while window[0].record.time_us < arrival.record.time_us - rules.overload_window_us:
                 window.popleft()
             work_ms = sum(each.attempt.work_ms for each in window)
-            noticed_ms = sum(each.attempt.work_ms for each in window if each.is_noticed)
-            if noticed_ms < work_ms * NOTICED_NUMERATOR / NOTICED_DENOMINATOR:
+            known_ms = sum(each.attempt.work_ms for each in window if each.is_start_known)
+            if known_ms < work_ms * KNOWN_NUMERATOR / KNOWN_DENOMINATOR:
                 continue
-            capacity = replica.cores * replica.speed * arrival.attempt.warmth * 1e-3  # ms of work a µs
+            capacity = replica.cores * replica.speed * arrival.attempt.warmth * 1e-3  # ms of work per µs
             budget_ms = rules.overload_multiple * capacity * rules.overload_window_us
-            self.use_limit(work_ms / budget_ms)
-            deaths = self._deaths_near(name, arrival.record.time_us)
-            if work_ms > budget_ms and deaths:
+            self.update_limit_used(work_ms / budget_ms)
+            crashes = self._crashes_near(name, arrival.record.time_us)
+            if work_ms > budget_ms and crashes:
                 description = (
                     f"pushed over in boot {incarnation}: {work_ms:.0f} ms of work in the span, "
                     f"{budget_ms:.0f} can be borne"
                 )
                 proxy = arrival.attempt.proxy
-                self.report(arrival.record.time_us, description, deaths, proxy=proxy, replica=name)
+                self.add_violation(arrival.record.time_us, description, crashes, proxy=proxy, replica=name)
 
-    def _deaths_near(self, replica: str, time_us: int) -> list[Record]:
+    def _crashes_near(self, replica: str, time_us: int) -> list[Record]:
         return [
             record
-            for record, death in self.deaths
-            if death.replica == replica and abs(record.time_us - time_us) < DEATH_WINDOW_US
+            for record, death in self.crashes
+            if death.replica == replica and abs(record.time_us - time_us) < CRASH_WINDOW_US
         ]
--- a/gradehoist/scenario/runner.py
+++ b/gradehoist/scenario/runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: starts every process, carries out the steps of the plan, ends each process."""
+"""Runs a scenario: starts all processes, executes the steps of the plan, and stops the processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from gradehoist.scenario.checks.run_check import check_records
 from gradehoist.scenario.checks.verdict import Verdict
 from gradehoist.scenario.definition import Scenario
-from gradehoist.scenario.errors import OrderRejectedError
+from gradehoist.scenario.errors import CommandRejectedError
 from gradehoist.scenario.faults.steps import CLIENTS_ROLE, RUNNER_ROLE
 from gradehoist.scenario.processes import HOST, ProcessGroup
 from gradehoist.scenario.run_folder import RunFolder
@@ -25,18 +25,20 @@
 from gradehoist.testbed.scenario_plan import Plan, Step
 
 PROXY_PREFIX = "relays-"
-# Started before the governors, which watch them.
+# These are started before the governors, which connect to them.
 FIRST_ROLES = ("links", "replicas", "roster")
-SETTLE_US = 1_500_000  # after the last deadline: load reports and records arrive
-JOIN_PAUSE_S = 1.0  # proxies begin their streams before the first request comes
-STEP_INTERVAL_S = 0.1  # the longest pause between two looks at processes and steps
-ORDER_TIMEOUT_S = 5.0
-ORDER_ACCEPTED = 204
+SETTLING_TIME_US = (
+    1_500_000  # After the last deadline, for load reports and records that are still on their way.
+)
+STREAM_START_PAUSE_S = 1.0  # The proxies begin their streams before the first request arrives.
+MAX_POLL_INTERVAL_S = 0.1  # Between two checks of the processes and the next step.
+COMMAND_TIMEOUT_S = 5.0
+COMMAND_ACCEPTED_STATUS = 204
 
 
 @dataclass(frozen=True)
 class RunProgress:
-    """How far a run has come, its last step in words, and the verdict on what is recorded so far."""
+    """The progress of a run: the completed share, the last step in words, and the verdict so far."""
 
     share: float
     last_step: str
@@ -47,7 +49,7 @@
 
 
 class ScenarioRun:
-    """One run in a folder, which holds plan, settings, logs and records afterwards."""
+    """One run of a scenario; its folder contains the plan, settings, logs and records."""
 
     def __init__(
         self,
@@ -57,29 +59,29 @@
         on_progress: ProgressListener | None = None,
         check_interval_s: float = 0.0,
     ) -> None:
-        """Prepares a run; nothing is started yet.
+        """Creates a run without starting it.
 
         Args:
-            scenario: where the plan is from.
-            plan: what is played.
-            folder: where plan, settings, logs and records are written; those of an earlier run are removed.
-            on_progress: called a few times a second.
-            check_interval_s: how often the records are checked during the run; 0: never.
+            scenario: the scenario that the plan was generated from.
+            plan: the plan to execute.
+            folder: the folder of the run; the files of an earlier run in it are removed.
+            on_progress: called several times a second.
+            check_interval_s: the time between two checks of the records during the run; 0 for no checks.
         """
         self.scenario = scenario
         self.plan = plan
         self.folder = RunFolder(folder)
         self.stop = asyncio.Event()
         self._on_progress = on_progress
-        self._checker = _PeriodicCheck(plan, folder, check_interval_s)
+        self._checker = _PeriodicChecker(plan, folder, check_interval_s)
         self._processes = ProcessGroup(self.folder)
 
-    async def play(self) -> bool:
-        """Plays the run; False where `stop` was set before its end.
+    async def execute(self) -> bool:
+        """Executes the plan; returns False if `stop` was set before its end.
 
         Raises:
-            ScenarioRunError: a process did not come up, ended by itself or rejected a step.
-            OSError: the folder cannot be written.
+            ScenarioRunError: a process did not start, exited during the run, or rejected a command.
+            OSError: the folder can't be written.
         """
         self.folder.prepare(self.scenario, self.plan)
         record = EventRecorder(self.folder.records)
@@ -87,12 +89,12 @@
             await self._start_processes()
             begin_us = read_monotonic_us()
             record("day_begins", scene=self.plan.name, seed=self.plan.seed)
-            await self._take_step(Step(at_us=0, role=CLIENTS_ROLE, command={"do": "begin"}), record)
-            return await self._play_steps(begin_us, record)
+            await self._execute_step(Step(at_us=0, role=CLIENTS_ROLE, command={"do": "begin"}), record)
+            return await self._execute_steps(begin_us, record)
         finally:
             self._checker.close()
             record.flush()
-            self._processes.end_all()
+            self._processes.stop_all()
             record("ended")
             record.flush()
 
@@ -107,7 +109,7 @@
             if role.startswith(PROXY_PREFIX):
                 self._start_test_double(role)
                 await self._wait_for_test_double(role)
-        await asyncio.sleep(JOIN_PAUSE_S)
+        await asyncio.sleep(STREAM_START_PAUSE_S)
         self._start_test_double(CLIENTS_ROLE)
         await self._wait_for_test_double(CLIENTS_ROLE)
 
@@ -130,16 +132,16 @@
         process = _governor_process(name)
         self._processes.start(process, "gradehoist", "governor", settings, "--name", name, "--log", "json")
 
-    async def _play_steps(self, begin_us: int, record: EventRecorder) -> bool:
+    async def _execute_steps(self, begin_us: int, record: EventRecorder) -> bool:
         last_deadline_us = max(request_class.deadline_us for request_class in self.plan.classes)
-        end_us = self.plan.length_us + last_deadline_us + SETTLE_US
+        end_us = self.plan.length_us + last_deadline_us + SETTLING_TIME_US
         steps = deque(self.plan.steps)
-        last_step = "begins"
+        last_step = "started"
         while not self.stop.is_set():
             elapsed_us = read_monotonic_us() - begin_us
             while steps and steps[0].at_us <= elapsed_us:
                 step = steps.popleft()
-                await self._take_step(step, record)
+                await self._execute_step(step, record)
                 last_step = _describe_step(step)
             if elapsed_us >= end_us:
                 return True
@@ -148,38 +150,38 @@
             if self._on_progress is not None:
                 share = min(1.0, elapsed_us / end_us)
                 self._on_progress(RunProgress(share, last_step, self._checker.verdict))
-            pause_s = STEP_INTERVAL_S
+            pause_s = MAX_POLL_INTERVAL_S
             if steps:
                 pause_s = min(pause_s, max(0.0, (steps[0].at_us - elapsed_us) / 1e6))
             await asyncio.sleep(pause_s)
         return False
 
-    async def _take_step(self, step: Step, record: EventRecorder) -> None:
+    async def _execute_step(self, step: Step, record: EventRecorder) -> None:
         record("step", at=step.at_us, target=step.role, do=step.command)
         record.flush()
         if step.role != RUNNER_ROLE:
-            await self._send_order(step)
+            await self._send_command(step)
         elif self.plan.follow_governors:
-            self._carry_out(step.command, record)
+            self._execute_runner_command(step.command, record)
 
-    async def _send_order(self, step: Step) -> None:
+    async def _send_command(self, step: Step) -> None:
         client = HttpClient(HOST, self.plan.control_ports[step.role])
         try:
             body = msgspec.json.encode(step.command)
-            response = await client.request("POST", "/", body, timeout_s=ORDER_TIMEOUT_S)
+            response = await client.request("POST", "/", body, timeout_s=COMMAND_TIMEOUT_S)
         finally:
             client.close()
-        if response.status != ORDER_ACCEPTED:
-            raise OrderRejectedError(step.role, step.command, response.body.decode(errors="replace"))
+        if response.status != COMMAND_ACCEPTED_STATUS:
+            raise CommandRejectedError(step.role, step.command, response.body.decode(errors="replace"))
 
-    def _carry_out(self, order: dict[str, object], record: EventRecorder) -> None:
-        """Carries out an order to the runner itself."""
-        governor = str(order["governor"])
-        match order["do"]:
+    def _execute_runner_command(self, command: dict[str, object], record: EventRecorder) -> None:
+        """Executes a command that is meant for the runner itself."""
+        governor = str(command["governor"])
+        match command["do"]:
             case "move":
-                self._start_migration(order)
+                self._start_migration(command)
             case "release":
-                self._start_rollout(order)
+                self._start_rollout(command)
             case "kill":
                 self._processes.kill(_governor_process(governor))
                 record("killed", governor=governor)
@@ -187,19 +189,19 @@
                 self._start_governor(governor)
                 record("started", governor=governor)
 
-    def _start_migration(self, order: dict[str, object]) -> None:
-        tenants = msgspec.convert(order["tenants"], list[str])
-        arguments = [*tenants, "--to", str(order["to"]), "--store", str(self.folder.migrations)]
+    def _start_migration(self, command: dict[str, object]) -> None:
+        tenants = msgspec.convert(command["tenants"], list[str])
+        arguments = [*tenants, "--to", str(command["to"]), "--store", str(self.folder.migrations)]
         self._processes.start("mover", "gradehoist", "cells", "move", str(self.folder.settings), *arguments)
 
-    def _start_rollout(self, order: dict[str, object]) -> None:
+    def _start_rollout(self, command: dict[str, object]) -> None:
         arguments = [
             "--run",
-            self._deploy_command(fails=order["fails"], slow=order["slow"]),
+            self._deploy_command(fails=command["fails"], slow=command["slow"]),
             "--back",
             self._deploy_command(fails=0.0, slow=1.0),
             "--soak",
-            str(order["soak"]),
+            str(command["soak"]),
             "--store",
             str(self.folder.migrations),
         ]
@@ -207,14 +209,14 @@
         self._processes.start("release", "gradehoist", "cells", "release", settings, *arguments)
 
     def _deploy_command(self, fails: object, slow: object) -> str:
-        """The command that deploys a version to a replica; the rollout fills in the replica."""
+        """Returns the command that deploys a version; the rollout replaces `{worker}` with a replica."""
         module = "gradehoist.testbed.deploy"
         plan = str(self.folder.plan)
         return shlex.join([sys.executable, "-m", module, plan, "{worker}", str(fails), str(slow)])
 
 
-class _PeriodicCheck:
-    """Checks the records of a run in a thread, one check at a time."""
+class _PeriodicChecker:
+    """Checks the records of a run at intervals, in a thread and one check at a time."""
 
     def __init__(self, plan: Plan, folder: Path, interval_s: float) -> None:
         self.verdict: Verdict | None = None
@@ -225,7 +227,7 @@
         self._task: asyncio.Task[Verdict | None] | None = None
 
     def update(self, elapsed_s: float) -> None:
-        """Begins a check when it is time for one, and takes the verdict of one that is done."""
+        """Starts a check if one is due, and stores the verdict of a completed one."""
         if self._interval_s and self._task is None and elapsed_s - self._last_s > self._interval_s:
             self._last_s = elapsed_s
             self._task = asyncio.create_task(asyncio.to_thread(self._check))
@@ -234,7 +236,7 @@
             self._task = None
 
     def close(self) -> None:
-        """Gives up a check that is still under way; its thread ends by itself."""
+        """Abandons a running check; its thread runs to its end, but its verdict is dropped."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
@@ -243,7 +245,7 @@
         try:
             return check_records(self._plan, load_records(self._folder))
         except ValueError:
-            return None  # a line was half written
+            return None  # A process was writing a record, which was incomplete.
 
 
 def _governor_process(name: str) -> str:
@@ -251,7 +253,7 @@
 
 
 def _describe_step(step: Step) -> str:
-    """An order in a few words: its name, and what it is for."""
+    """Returns the command's name and its targets: its first list, or else its governor."""
     targets: list[object] = [step.command.get("governor", "")]
     for value in step.command.values():
         if isinstance(value, list):
