--- a/gradehoist/capacity_planning/plan.py
+++ b/gradehoist/capacity_planning/plan.py
@@ -16,7 +16,8 @@
 from gradehoist.capacity_planning.rounding import RATE_UNITS
 from gradehoist.capacity_planning.solver import PRICE_UNITS
 
-PLAN_VERSION = 1  # The version of the file format.
+# The version of the file format.
+PLAN_VERSION = 1
 
 
 class ServedRate(msgspec.Struct, frozen=True, array_like=True):
--- a/gradehoist/cli/scenario.py
+++ b/gradehoist/cli/scenario.py
@@ -122,7 +122,7 @@
 
 
 def _format_initials(verdict: Verdict | None) -> str:
-    """Returns the first character of each rule's title, coloured by whether it has been broken so far."""
+    """Returns the number that starts each rule's title, coloured by whether it has been broken so far."""
     if verdict is None:
         return ""
     initials = []
