--- a/gradehoist/testbed/__main__.py
+++ b/gradehoist/testbed/__main__.py
@@ -1,4 +1,8 @@
-"""Runs one process of the testbed: `python -m gradehoist.testbed PLAN ROLE FOLDER`, or `... engine PORT`."""
+"""Runs one process of the testbed.
+
+`python -m gradehoist.testbed PLAN ROLE FOLDER` runs a role of a scenario run, with its event file in FOLDER.
+`python -m gradehoist.testbed engine PORT` runs the etcd test double, which needs no plan.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,11 @@
 
 
 def find_factory(role: str) -> ProcessFactory:
-    """Finds the process type of a role, which is its name or `NAME-ZONE`. Raises KeyError if unknown."""
+    """Returns the process type for a role, which has the form `NAME` or `NAME-ZONE`.
+
+    Raises:
+        KeyError: no process type has this name.
+    """
     factories: dict[str, type[Process]] = {
         "clients": ClientProcess,
         "links": LinkProcess,
@@ -31,7 +39,7 @@
 
 
 def main() -> None:
-    """Reads the command line and runs the process until it is signalled to stop."""
+    """Runs the process that the command line names until SIGTERM or SIGINT."""
     if sys.argv[1] == ETCD_ROLE:
         asyncio.run(etcd_server.run(int(sys.argv[2])))
         return
