--- a/gradehoist/testbed/clients.py
+++ b/gradehoist/testbed/clients.py
@@ -1,7 +1,8 @@
-"""Clients: requests at a planned rate, with timeouts and retries of their own; role `clients`.
+"""Clients that send requests at a planned rate, with their own timeouts and retries; role `clients`.
 
-Arrivals don't wait for responses. To a proxy each retry of a client is a request of its own; to the checkers
-they are one request: completed, within its latency objective or not, or given up.
+The load is open-loop: requests start on schedule whether or not earlier ones have been answered. A proxy sees
+each retry of a client as a separate request. The checkers count a request and its retries as one request,
+which is completed within its latency objective, completed late, or given up.
 """
 
 from __future__ import annotations
@@ -16,19 +17,21 @@
 from gradehoist.testbed.process import LOOPBACK, Process, create_random, read_monotonic_us
 from gradehoist.testbed.scenario_plan import Plan, RequestClassPlan
 
-# Statuses of attempts that got no response, as they are recorded.
+# Recorded in place of an HTTP status for attempts that got no response.
 STATUS_CONNECT_FAILED = -1
 STATUS_CONNECTION_LOST = -2
 STATUS_TIMED_OUT = -3
-RETRYABLE_STATUSES = (429, 503, STATUS_CONNECT_FAILED)  # the request had no effect
-MIN_REQUESTS_PER_S = 1e-3  # an exponential distribution needs a rate above 0
+# After these statuses the request is known to have had no effect.
+RETRYABLE_STATUSES = (429, 503, STATUS_CONNECT_FAILED)
+# The exponential distribution of the times between arrivals requires a rate above 0.
+MIN_REQUESTS_PER_S = 1e-3
 
 
 class ClientProcess(Process):
-    """All clients of a run, each of one proxy."""
+    """Generates the traffic of a run, with one HTTP client for each proxy."""
 
     def __init__(self, plan: Plan, role: str, folder: Path) -> None:
-        """Creates a client for each proxy; arrivals begin with the command `begin`."""
+        """Creates the clients; they send nothing before the command `begin`."""
         super().__init__(plan, role, folder)
         self.clients = {proxy.name: HttpClient(LOOPBACK, proxy.port) for proxy in plan.proxies}
         self.proxy_factors = {proxy.name: 1.0 for proxy in plan.proxies}
@@ -36,26 +39,30 @@
         self.tenant_factors: dict[str, float] = {}
 
     async def start(self) -> None:
-        """Does nothing: arrivals wait for the command `begin`, so that their clock is the run's."""
+        """Does nothing, because arrivals start at the command `begin`, when the clock of the run starts."""
 
-    def on_command(self, do: dict[str, Any]) -> None:
-        """Executes `begin`, or `factor`, `louder` or `whole`, which change the request rates."""
-        match do["do"]:
+    def on_command(self, command: dict[str, Any]) -> None:
+        """Executes a command of the run.
+
+        `begin` starts the arrivals. The others set a factor on the request rate: `factor` for the named
+        proxies, `louder` for one tenant, `whole` for all traffic.
+        """
+        match command["do"]:
             case "begin":
                 self.began_us = read_monotonic_us()
                 self.start_task(self._generate_arrivals())
             case "factor":
-                for name in do["relays"]:
-                    self.proxy_factors[name] = float(do["value"])
+                for name in command["relays"]:
+                    self.proxy_factors[name] = float(command["value"])
             case "louder":
-                self.tenant_factors[do["tenant"]] = float(do["value"])
+                self.tenant_factors[command["tenant"]] = float(command["value"])
             case "whole":
-                self.total_factor = float(do["value"])
+                self.total_factor = float(command["value"])
             case _:
-                raise ValueError(f"unknown order {do['do']!r}")
+                raise ValueError(f"unknown command {command['do']!r} for the clients")
 
     def _rate_factor(self, elapsed_us: int) -> float:
-        """Interpolates the plan's factor on the request rate."""
+        """Returns the factor on the request rate, interpolated linearly between the points of the plan."""
         points = self.plan.rate_factors or ((0, 1.0),)
         if elapsed_us <= points[0][0]:
             return points[0][1]
@@ -74,7 +81,7 @@
         return [share * self.tenant_factors.get(tenant, 1.0) for tenant, share in self.plan.tenant_shares]
 
     async def _generate_arrivals(self) -> None:
-        """Starts requests in a Poisson process until the run ends."""
+        """Starts requests as a Poisson process until the planned length of the run is over."""
         random = create_random(self.plan.seed, "arrivals")
         number = 0
         scheduled_s = 0.0
@@ -106,7 +113,7 @@
     async def _send_request(
         self, request_id: str, proxy: str, request_class: RequestClassPlan, work_ms: float, tenant: str
     ) -> None:
-        """Sends a request with its retries, and records how it ended."""
+        """Sends a request and its retries, and records the last status and the number of attempts."""
         began_us = read_monotonic_us()
         attempts = 0
         status = 0
@@ -144,7 +151,7 @@
         return min(remaining_us, int(self.plan.attempt_share * request_class.deadline_us))
 
     async def _send_attempt(self, proxy: str, headers: tuple[tuple[str, str], ...], timeout_us: int) -> int:
-        """Returns the status of the response, or the one that stands for its failure."""
+        """Sends one attempt and returns the HTTP status, or a negative status if there was no response."""
         try:
             response = await self.clients[proxy].request("POST", "/", b"", headers, timeout_us / 1e6)
         except ConnectError:
@@ -157,13 +164,13 @@
 
 
 def _sample_work_ms(request_class: RequestClassPlan, random: Random) -> float:
-    """Samples a log-normal distribution with the mean and the variation of the class."""
+    """Samples a log-normal distribution with the mean and the coefficient of variation of the class."""
     sigma = math.sqrt(math.log(1 + request_class.work_variation**2))
     return request_class.work_ms * random.lognormvariate(-(sigma**2) / 2, sigma)
 
 
 def _is_retryable(request_class: RequestClassPlan, status: int) -> bool:
-    """Whether a failed attempt may be repeated: it had no effect, or a second effect is harmless."""
+    """Returns whether the attempt failed and either had no effect or may safely take effect twice."""
     if status == 200:
         return False
     return status in RETRYABLE_STATUSES or request_class.idempotency == "free"
