--- a/gradehoist/testbed/deploy.py
+++ b/gradehoist/testbed/deploy.py
@@ -1,7 +1,7 @@
-"""Deploys a release to one replica as an operator does: drain, restart with the release, list as ready.
+"""Deploys a release to one replica as an operator would: drains it, restarts it and lists it as ready.
 
-`python -m gradehoist.testbed.deploy PLAN REPLICA FAILS SLOW`: the share of its requests that the release
-fails, and how many times as long the others take.
+Usage: `python -m gradehoist.testbed.deploy PLAN REPLICA FAILS SLOW`. FAILS is the share of its requests that
+the new release fails. SLOW is the factor by which the release slows down the other requests.
 """
 
 from __future__ import annotations
@@ -15,12 +15,16 @@
 from gradehoist.testbed.process import LOOPBACK
 from gradehoist.testbed.scenario_plan import Plan, load_plan
 
-DRAIN_S = 1.5  # requests in flight end meanwhile
+DRAIN_S = 1.5  # time for the requests in flight to end
 COMMAND_TIMEOUT_S = 5.0
 
 
 async def send_command(plan: Plan, role: str, **command: object) -> None:
-    """Sends a command to the process of a role. Raises SystemExit if it is rejected."""
+    """Sends a command to the control port of a role.
+
+    Raises:
+        SystemExit: the process rejected the command.
+    """
     client = HttpClient(LOOPBACK, plan.control_ports[role])
     try:
         body = msgspec.json.encode(command)
@@ -28,11 +32,18 @@
     finally:
         client.close()
     if response.status != 204:
-        raise SystemExit(f"{role} refused {command}")
+        raise SystemExit(f"{role} rejected the command {command}: status {response.status}")
 
 
 async def deploy(plan: Plan, replica: str, failure_share: float, slowdown: float) -> None:
-    """Drains, restarts and lists the replica again; its release fails and slows requests as given."""
+    """Drains and restarts the replica, then lists it as ready.
+
+    Args:
+        plan: The plan of the run that the replica belongs to.
+        replica: The name of the replica.
+        failure_share: The share of requests that the new release fails.
+        slowdown: The factor by which the new release slows down requests.
+    """
     zone = next(planned.zone for planned in plan.replicas if planned.name == replica)
     role = f"replicas-{zone}"
     replicas = [replica]
