--- a/gradehoist/testbed/endpoint_list.py
+++ b/gradehoist/testbed/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: serves which replicas are listed, by long polls; role `roster`."""
+"""The endpoint list service, which readers follow by long polls; role `roster`."""
 
 from __future__ import annotations
 
@@ -12,13 +12,23 @@
 from gradehoist.protocol import feed, http
 from gradehoist.testbed.process import LOOPBACK, Process, read_monotonic_us
 
-MAX_VERSIONS_BEHIND = 200  # a reader that is further behind gets a complete snapshot
+# A reader that is further behind gets a complete snapshot instead of a delta.
+MAX_VERSIONS_BEHIND = 200
+# The longest time for which a poll is held.
 MAX_WAIT_S = 10.0
-LONG_AGO_US = 10**9  # age of a replica that ran before the scenario began
+# The age that is listed for a replica that has run since before the scenario began.
+PRESTARTED_AGE_US = 10**9
 
 
 class EndpointState(msgspec.Struct):
-    """The listed state of a replica; `started_us` is 0 if it ran before the scenario began."""
+    """The listed state of a replica.
+
+    Attributes:
+        phase: The listed phase, such as `ready`, `draining` or `gone`.
+        incarnation_number: The number of the replica's incarnation, from 1.
+        started_us: When the incarnation started; 0 if it ran before the scenario began.
+        version: The version of the list at which the state last changed.
+    """
 
     phase: str
     incarnation_number: int
@@ -27,10 +37,10 @@
 
 
 class EndpointListProcess(Process):
-    """Serves the endpoint list, changes it and fails as the run's commands say."""
+    """Serves the endpoint list; commands of the run change the list or inject an outage."""
 
     async def start(self) -> None:
-        """Lists the replicas of the plan and begins to serve."""
+        """Lists the replicas that the plan lists at the start, and begins to serve."""
         self.incarnation = str(read_monotonic_us())
         self.version = 1
         self.endpoints = {
@@ -46,17 +56,21 @@
         host, port = self.plan.endpoint_list
         self.server.listen(port, host)
 
-    def on_command(self, do: dict[str, Any]) -> None:
-        """Executes `list`, `down` or `forget`."""
-        match do["do"]:
+    def on_command(self, command: dict[str, Any]) -> None:
+        """Executes a command of the run and wakes the held polls.
+
+        `list` sets the phase of the named replicas. `down` sets the outage: empty for none, `silent` to leave
+        polls without a response, any other value to answer with 503. `forget` restarts the versions.
+        """
+        match command["do"]:
             case "list":
-                self._list_replicas(do)
+                self._list_replicas(command)
             case "down":
-                self.outage = str(do["value"])
+                self.outage = str(command["value"])
             case "forget":
                 self._restart_versions()
             case _:
-                raise ValueError(f"unknown order {do['do']!r}")
+                raise ValueError(f"unknown command {command['do']!r} for the endpoint list")
         self._notify_readers()
 
     def _list_replicas(self, command: dict[str, Any]) -> None:
@@ -78,7 +92,7 @@
         self.record("changed", version=self.version, replicas=command["replicas"], phase=command["phase"])
 
     def _restart_versions(self) -> None:
-        """Begins a new incarnation of the list, whose versions start again."""
+        """Begins a new incarnation of the list, whose versions start again from 1."""
         self.incarnation = str(read_monotonic_us())
         self.version = 1
         for endpoint in self.endpoints.values():
@@ -134,7 +148,7 @@
         )
 
     async def _wait_for_change(self, timeout_s: float) -> bool:
-        """Waits for a change of the list; returns False when the time is over."""
+        """Waits for a change of the list; returns False if none came within the timeout."""
         if timeout_s <= 0:
             return False
         try:
@@ -147,7 +161,7 @@
     def _build_records(
         self, zone: str, is_snapshot: bool, after_version: int
     ) -> tuple[feed.EndpointRecord, ...]:
-        """Builds the records of a snapshot or a delta, with addresses through the links of the zone."""
+        """Builds the records of a snapshot or a delta, addressed through the links from the reader's zone."""
         return tuple(
             self._build_record(zone, name, endpoint)
             for name, endpoint in self.endpoints.items()
@@ -156,7 +170,7 @@
 
     def _build_record(self, zone: str, name: str, endpoint: EndpointState) -> feed.EndpointRecord:
         replica = self.replicas[name]
-        age_us = read_monotonic_us() - endpoint.started_us if endpoint.started_us else LONG_AGO_US
+        age_us = read_monotonic_us() - endpoint.started_us if endpoint.started_us else PRESTARTED_AGE_US
         return feed.EndpointRecord(
             replica=name,
             zone=replica.zone,
