--- a/gradehoist/testbed/etcd_calls.py
+++ b/gradehoist/testbed/etcd_calls.py
@@ -1,4 +1,4 @@
-"""The state and the unary calls of the etcd test double, without I/O."""
+"""The state and the unary calls of the etcd test double; `etcd_server` does the I/O."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 CLUSTER_ID = "1234567890123456789"
 
-# Codes of gRPC, which etcd's HTTP interface returns in its errors.
+# gRPC status codes, which etcd's HTTP interface returns in the bodies of its errors.
 GRPC_NOT_FOUND = 5
 GRPC_RESOURCE_EXHAUSTED = 8
 GRPC_UNIMPLEMENTED = 12
 
 
 class ServerFaults(msgspec.Struct):
-    """The injected faults, as `POST /fault` orders them.
+    """The injected faults, as `POST /fault` sets them.
 
     Attributes:
-        seed: seed of the random generator that decides which calls are hit.
-        is_unavailable: no call is answered, and open watches end.
-        lost_response_share: share of calls that take effect and are not answered.
-        dropped_call_share: share of calls that neither take effect nor are answered.
-        stale_revisions: how many revisions back a range reads.
-        messages_per_watch: a watch ends after so many messages; 0 means no limit.
-        repeats_messages: whether a watch sends each message twice.
-        rejects_writes: whether writes are rejected, as by a full database.
-        response_delay_s: delay before each call.
+        seed: Seed of the random generator that decides which calls are affected.
+        is_unavailable: Whether calls get no response and open watches end.
+        lost_response_share: Share of calls that take effect but get no response.
+        dropped_call_share: Share of calls that neither take effect nor get a response.
+        stale_revisions: Number of revisions by which range reads lag behind the current one.
+        messages_per_watch: Number of messages after which a watch ends; 0 means no limit.
+        repeats_messages: Whether a watch sends each message twice.
+        rejects_writes: Whether writes are rejected as if the database were full.
+        response_delay_s: Delay before each call is executed.
     """
 
     seed: int = 1
@@ -53,7 +53,7 @@
 
 
 class EtcdServer:
-    """The state of the server: its keyspace, faults and counts of calls."""
+    """The state of the server: its keyspace, its injected faults and its counts of calls by path."""
 
     def __init__(self, cluster: str = CLUSTER_ID) -> None:
         """Creates an empty server without faults."""
@@ -75,12 +75,12 @@
         }
 
     def notify_watches(self) -> None:
-        """Wakes all watches to look for changes."""
+        """Wakes all watches so that they send new changes or notice an outage."""
         self.change_event.set()
         self.change_event = asyncio.Event()
 
     def apply_command(self, body: dict[str, Any]) -> None:
-        """Executes a command of `POST /fault`.
+        """Executes a command of `POST /fault`; see `etcd_server` for the commands.
 
         Raises:
             ValueError: the command or a fault is unknown or invalid.
@@ -99,7 +99,7 @@
             case "extend":
                 self.keyspace.extend_leases(read_monotonic_us())
             case other:
-                raise ValueError(f"no order {other!r}")
+                raise ValueError(f"unknown command {other!r} for the etcd test double")
         self.notify_watches()
 
     def call(self, path: str, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
@@ -146,6 +146,7 @@
         try:
             entries = self.keyspace.read_range(first, end, at_revision)
         except RevisionCompactedError:
+            # The stale revision is no longer in the history, so the current state is returned.
             at_revision = 0
             entries = self.keyspace.read_range(first, end)
         return 200, self._build_range_response(entries, at_revision)
@@ -158,7 +159,7 @@
         }
 
     def _commit(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """Executes a transaction: its writes if all compared revisions hold, else its reads."""
+        """Executes a transaction: its writes if all compared revisions match, otherwise its reads."""
         is_unchanged = all(
             self.keyspace.find_mod_revision(b64decode(compare["key"])) == int(compare["modRevision"])
             for compare in body["compare"]
@@ -207,7 +208,7 @@
 
 
 def build_event(change: Change) -> dict[str, Any]:
-    """Builds the event of a watch that tells a change."""
+    """Builds the watch event for a change."""
     if change.entry is None:
         key_value = {"key": _encode_text(change.key), "mod_revision": str(change.revision)}
         return {"type": "DELETE", "kv": key_value}
