--- a/gradehoist/testbed/etcd_keyspace.py
+++ b/gradehoist/testbed/etcd_keyspace.py
@@ -1,7 +1,8 @@
-"""The keyspace of the etcd test double: revisions, a history, leases, compaction and snapshots, without I/O.
+"""The keyspace of the etcd test double: revisions, history, leases, compaction and snapshots, without I/O.
 
-It keeps what etcd's published interface promises: one counter of revisions, compare and write in one step,
-every change kept until it is compacted, and leases that delete their keys when they expire. Times are
+It implements the guarantees of etcd's published interface: one revision counter for the whole keyspace, a
+history of all changes until they are compacted, and leases that delete their keys when they expire. All
+calls are synchronous, so that a caller can compare revisions and write in one atomic step. Times are
 microseconds of the caller's clock.
 """
 
@@ -16,32 +17,41 @@
 
 
 class KeyspaceError(Exception):
-    """A request that the keyspace can't serve."""
+    """The base of the errors of the keyspace."""
 
 
 class RevisionCompactedError(KeyspaceError):
-    """The requested revision was compacted away."""
+    """The requested revision has been compacted and is no longer in the history."""
 
     def __init__(self, revision: int, compacted_revision: int) -> None:
-        """Keeps the requested revision and the one up to which history is gone."""
+        """Keeps the requested revision and the newest compacted one."""
         super().__init__(
-            f"revision {revision} is compacted (up to {compacted_revision}): read the current state"
+            f"revision {revision} is compacted (up to {compacted_revision}); read the current state instead"
         )
         self.revision = revision
         self.compacted_revision = compacted_revision
 
 
 class LeaseNotFoundError(KeyspaceError):
-    """A write names a lease that does not exist or has expired."""
+    """The lease of a write does not exist or has expired."""
 
     def __init__(self, lease_id: int) -> None:
         """Keeps the id of the lease."""
-        super().__init__(f"lease {lease_id} is not found: grant a new one")
+        super().__init__(f"lease {lease_id} does not exist or has expired; grant a new one")
         self.lease_id = lease_id
 
 
 class Entry(NamedTuple):
-    """A key with its value, the revisions of its creation and last change, and its lease (0: none)."""
+    """A key with its value.
+
+    Attributes:
+        key: The key.
+        value: Its value.
+        create_revision: The revision that created the key.
+        mod_revision: The revision of its last change.
+        version: The number of writes since the key was created, from 1.
+        lease_id: The lease that the key is attached to; 0 if there is none.
+    """
 
     key: bytes
     value: bytes
@@ -61,7 +71,7 @@
 
 @dataclass
 class Lease:
-    """A lease, the time at which it expires and the keys that are then deleted."""
+    """A lease, the time at which it expires and the keys that are deleted when it does."""
 
     ttl_us: int
     expires_us: int
@@ -70,7 +80,7 @@
 
 @dataclass
 class Keyspace:
-    """All keys with their history and leases."""
+    """All keys, with the history of their changes and their leases."""
 
     revision: int = 1
     compacted_revision: int = 0
@@ -80,12 +90,12 @@
     last_lease_id: int = FIRST_LEASE_ID - 1
 
     def read_range(self, first: bytes, end: bytes = b"", at_revision: int = 0) -> list[Entry]:
-        """Reads the entries from `first` to before `end`, or of the key `first` alone.
+        """Returns the entries of a range of keys, in the order of the keys.
 
         Args:
-            first: the first key.
-            end: the key after the last one; empty for one key.
-            at_revision: an older revision to read at; 0 for the current one.
+            first: The first key.
+            end: The end of the range, which is excluded; empty to read only the key `first`.
+            at_revision: An older revision to read at; 0 for the current one.
 
         Raises:
             RevisionCompactedError: the history no longer reaches back to `at_revision`.
@@ -111,14 +121,20 @@
         return entries
 
     def find_mod_revision(self, key: bytes) -> int:
-        """Returns the revision of the key's last change, 0 if there is no such key."""
+        """Returns the revision of the key's last change, or 0 if there is no such key."""
         return self.entries[key].mod_revision if key in self.entries else 0
 
     def write(self, puts: list[tuple[bytes, bytes, int]], deletes: list[bytes]) -> int:
-        """Applies all puts (key, value, lease or 0) and deletions at one revision, and returns it.
+        """Applies all puts and deletions at one new revision and returns the current revision.
+
+        A write that changes nothing, such as deleting unknown keys, uses no revision.
+
+        Args:
+            puts: The keys to write, each with its value and its lease (0 for none).
+            deletes: The keys to delete.
 
         Raises:
-            LeaseNotFoundError: a put names an unknown lease; nothing is written then.
+            LeaseNotFoundError: the lease of a put is unknown; nothing is written in this case.
         """
         for _, _, lease_id in puts:
             if lease_id and lease_id not in self.leases:
@@ -156,14 +172,14 @@
         self.changes.append(Change(revision=revision, key=key, entry=None))
 
     def find_changes(self, revision: int, first: bytes, end: bytes) -> list[Change]:
-        """Returns the changes from `revision` on to the keys from `first` to before `end`.
+        """Returns the changes since `revision`, included, to the keys from `first` to `end`, excluded.
 
         Raises:
             RevisionCompactedError: the history no longer reaches back to `revision`.
         """
         if revision <= self.compacted_revision:
             raise RevisionCompactedError(revision, self.compacted_revision)
-        # Bisection: a linear scan at each change of a minute's history stopped the server.
+        # Scanning a minute's history linearly for each change made the server stop responding.
         start = bisect.bisect_left(self.changes, revision, key=lambda change: change.revision)
         return [change for change in self.changes[start:] if first <= change.key < end]
 
@@ -178,7 +194,7 @@
         return self.last_lease_id
 
     def renew_lease(self, now_us: int, lease_id: int) -> bool:
-        """Renews a lease for its whole time to live; returns False if there is no such lease."""
+        """Renews a lease for its full time to live; returns False if there is no such lease."""
         lease = self.leases.get(lease_id)
         if lease is None:
             return False
@@ -186,22 +202,22 @@
         return True
 
     def revoke_lease(self, lease_id: int) -> None:
-        """Removes a lease and deletes its keys; an unknown lease changes nothing."""
+        """Removes a lease and deletes its keys; an unknown lease is ignored."""
         lease = self.leases.pop(lease_id, None)
         if lease is not None and lease.keys:
             self.write([], sorted(lease.keys))
 
     def expire_leases(self, now_us: int) -> None:
-        """Revokes the leases whose time is over."""
+        """Revokes the leases that have expired."""
         expired = [lease_id for lease_id, lease in self.leases.items() if lease.expires_us < now_us]
         for lease_id in expired:
             self.revoke_lease(lease_id)
 
     def extend_leases(self, now_us: int) -> None:
-        """Gives every lease its whole time to live again, as etcd does after a leader election."""
+        """Renews every lease for its full time to live, as etcd does after a leader election."""
         for lease in self.leases.values():
             lease.expires_us = now_us + lease.ttl_us
 
     def snapshot(self) -> Keyspace:
-        """Returns an independent copy."""
+        """Returns an independent copy of the keyspace."""
         return copy.deepcopy(self)
