--- a/gradehoist/testbed/etcd_server.py
+++ b/gradehoist/testbed/etcd_server.py
@@ -1,8 +1,9 @@
-"""A test double of etcd: its published interface over HTTP and JSON, with faults to inject.
+"""A test double of etcd that serves etcd's published interface over HTTP and JSON and can inject faults.
 
-`POST /fault` sets the faults from now on, see `ServerFaults`; with `do` it executes another command:
-`snapshot` saves the keyspace, `restore` puts the saved one back, `compact` drops history and `extend` gives
-all leases their whole time again. The process ends by SIGTERM.
+`POST /fault` without the field `do` replaces the injected faults; `ServerFaults` has their names. With `do`
+it executes another command: `snapshot` saves the keyspace, `restore` replaces the keyspace with the saved
+one, `compact` drops old history, and `extend` renews all leases for their full time to live. `GET /fault`
+returns the counts of calls. The process runs until SIGTERM or SIGINT.
 """
 
 from __future__ import annotations
@@ -23,16 +24,17 @@
 from gradehoist.testbed.process import LOOPBACK, read_monotonic_us
 
 LEASE_CHECK_PERIOD_S = 0.02
-WATCH_CHECK_PERIOD_S = 1.0  # a watch without changes looks so often whether the server is unavailable
+# How often a watch without changes checks whether the server has become unavailable.
+WATCH_CHECK_PERIOD_S = 1.0
 
 
 class EtcdHandler(RequestHandler):
-    """A request of the server; the base of the handlers."""
+    """The base of the request handlers."""
 
     server: EtcdServer
 
     def initialize(self, server: EtcdServer) -> None:
-        """Takes the server that the request is for."""
+        """Sets the server whose state the handler uses; Tornado calls it for each request."""
         self.server = server
 
     def close_connection(self) -> None:
@@ -41,15 +43,15 @@
             self.request.connection.stream.close()  # type: ignore[attr-defined]
 
     def count_call(self, path: str) -> None:
-        """Counts a call for `GET /fault`."""
+        """Adds a call to the counts that `GET /fault` returns."""
         self.server.calls[path] = self.server.calls.get(path, 0) + 1
 
 
 class CallHandler(EtcdHandler):
-    """A unary call."""
+    """Handles unary calls."""
 
     async def post(self, path: str) -> None:
-        """Executes the call, unless a fault hits it."""
+        """Executes the call, subject to the injected faults."""
         server = self.server
         faults = server.faults
         self.count_call(path)
@@ -68,10 +70,10 @@
 
 
 class WatchHandler(EtcdHandler):
-    """A watch of a range of keys, as a stream of JSON lines."""
+    """Handles a watch of a range of keys, as a stream of JSON lines."""
 
     async def post(self) -> None:
-        """Sends the changes until the client leaves, history is compacted or a fault ends the watch."""
+        """Sends changes until the client disconnects, its revision is compacted or a fault ends the watch."""
         server = self.server
         self.count_call("watch")
         if server.faults.is_unavailable:
@@ -86,7 +88,12 @@
                 self.close_connection()
 
     async def _send_changes(self, first: bytes, end: bytes, next_revision: int) -> bool:
-        """Sends changes as they come; returns True when the server becomes unavailable."""
+        """Sends changes as they occur.
+
+        Returns:
+            True if the watch ended because the server became unavailable; False if its revision is compacted
+            or it has sent the number of messages that the faults allow.
+        """
         server = self.server
         sent_messages = 0
         while not server.faults.is_unavailable:
@@ -124,14 +131,14 @@
 
 
 class CommandHandler(EtcdHandler):
-    """The commands of the tests: faults to inject, and counts of calls."""
+    """Handles the commands by which tests inject faults and read the counts of calls."""
 
     def get(self) -> None:
-        """Returns the counts of calls and the current revision."""
+        """Responds with the counts of calls and the current revision."""
         self.finish({"calls": self.server.calls, "revision": self.server.keyspace.revision})
 
     def post(self) -> None:
-        """Executes a command; an invalid one gets status 400."""
+        """Executes a command; responds with status 400 if it is invalid."""
         try:
             self.server.apply_command(msgspec.json.decode(self.request.body))
         except (KeyError, ValueError) as error:
@@ -142,7 +149,11 @@
 
 
 def serve(port: int, server: EtcdServer | None = None) -> tuple[EtcdServer, HTTPServer]:
-    """Listens on loopback. Raises OSError if the port is taken."""
+    """Starts an HTTP server on loopback, for the given state or for a new one.
+
+    Raises:
+        OSError: the port is in use.
+    """
     server = server or EtcdServer()
     arguments = {"server": server}
     application = Application(
@@ -158,14 +169,15 @@
 
 
 async def run(port: int) -> None:
-    """Serves and expires leases until SIGTERM or SIGINT."""
+    """Serves requests and expires leases until SIGTERM or SIGINT."""
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     server, http_server = serve(port)
     while not stop.is_set():
         revision = server.keyspace.revision
-        if not server.faults.is_unavailable:  # an etcd that is unavailable expires no lease
+        # An unavailable etcd does not expire leases.
+        if not server.faults.is_unavailable:
             server.keyspace.expire_leases(read_monotonic_us())
         if server.keyspace.revision != revision:
             server.notify_watches()
