--- a/gradehoist/testbed/fault_link.py
+++ b/gradehoist/testbed/fault_link.py
@@ -1,8 +1,11 @@
-"""Links between proxies, replicas and governors, on which a run injects network faults; role `links`.
+"""TCP links between proxies, replicas and governors, on which a run injects network faults; role `links`.
 
-A link forwards bytes and knows no protocol. The faults are: refused connections (no listener, open ones are
-reset), a blackhole (connections are accepted and nothing is forwarded), delay, lost responses, resets before
-the request arrives, and a bandwidth limit shared by all links of one target.
+A link forwards bytes without interpreting any protocol. The faults are:
+
+- refused connections: the link has no listener, and open connections are reset;
+- a blackhole: connections are accepted and nothing is forwarded;
+- delay, lost responses, and connections that are reset before the request reaches the target;
+- a bandwidth limit on responses, which all links of one target share.
 """
 
 from __future__ import annotations
@@ -22,19 +25,22 @@
 
 LISTEN_BACKLOG = 1024
 READ_SIZE = 1 << 16  # bytes
-LINGER_RESET = b"\1\0\0\0\0\0\0\0"  # SO_LINGER on with 0 s: closing sends a reset
+# SO_LINGER enabled with a timeout of 0 s, which makes close() send a reset.
+LINGER_RESET = b"\1\0\0\0\0\0\0\0"
 
 
 @dataclass(frozen=True)
 class LinkFaults:
-    """The faults of a link, by the names that the command `injure` gives them.
+    """The faults of a link; the fields have the names that the command `injure` uses.
+
+    The shares are probabilities for each chunk of bytes that the link reads.
 
     Attributes:
-        refuse: whether connections are refused and the open ones are reset.
-        hole: whether connections are accepted and nothing is forwarded.
-        delay: seconds of delay in each direction.
-        lose: share of responses that are lost.
-        reset: share of requests whose connection is reset before they reach the target.
+        refuse: Whether connections are refused and the open ones are reset.
+        hole: Whether connections are accepted and nothing is forwarded.
+        delay: Seconds of delay in each direction.
+        lose: Share of responses that are lost; the client's connection is reset instead.
+        reset: Share of requests whose connection is reset before they reach the target.
     """
 
     refuse: bool = False
@@ -46,13 +52,18 @@
 
 @dataclass
 class Bandwidth:
-    """The bandwidth of responses from one target; 0 bytes a second means no limit."""
+    """The bandwidth that all responses from one target share.
+
+    Attributes:
+        bytes_per_s: The limit; 0 means that there is none.
+        free_at_us: When the transfers that were started so far are finished.
+    """
 
     bytes_per_s: float = 0.0
     free_at_us: int = 0
 
     async def wait_for_transfer(self, size: int) -> None:
-        """Waits as long as the transfer of so many bytes takes after those that wait already."""
+        """Waits until this many bytes are transferred, after all earlier transfers."""
         if self.bytes_per_s <= 0:
             return
         transfer_us = int(size / self.bytes_per_s * 1e6)
@@ -61,7 +72,7 @@
 
 
 class Listener(TCPServer):
-    """The listener of a link; while it is stopped, the system refuses connections as for a dead process."""
+    """The listener of a link; without it, the kernel refuses connections as if no process were running."""
 
     def __init__(self, link: Link) -> None:
         """Listens on the link's port. Raises OSError."""
@@ -70,15 +81,15 @@
         self.listen(link.plan.port, LOOPBACK, backlog=LISTEN_BACKLOG)
 
     async def handle_stream(self, stream: IOStream, address: Any) -> None:
-        """Forwards a new connection."""
+        """Forwards an accepted connection until it ends."""
         await self._link.forward(stream)
 
 
 class Link:
-    """One link, its open connections and its faults."""
+    """One link with its open connections and its injected faults."""
 
     def __init__(self, plan: LinkPlan, owner: LinkProcess) -> None:
-        """Creates the link; it doesn't listen yet."""
+        """Creates the link without a listener."""
         self.plan = plan
         self.owner = owner
         self.faults = LinkFaults()
@@ -87,12 +98,12 @@
         self.listener: Listener | None = None
 
     def listen(self) -> None:
-        """Begins to accept connections, if it doesn't yet."""
+        """Starts to accept connections unless the link already does."""
         if self.listener is None:
             self.listener = Listener(self)
 
     def inject(self, faults: LinkFaults) -> None:
-        """Replaces the faults of the link."""
+        """Replaces the faults of the link and ends the connections that a blackhole held."""
         self.faults = faults
         self.faults_changed.set()
         self.faults_changed = asyncio.Event()
@@ -127,7 +138,8 @@
             requests.cancel()
             responses.cancel()
         except (StreamClosedError, OSError):
-            _reset_stream(client)  # the target does not listen: the client must see a reset, not an end
+            # The connection to the target failed: the client must see a reset, not an orderly close.
+            _reset_stream(client)
         finally:
             self.connections.discard(connection)
             client.close()
@@ -151,7 +163,11 @@
                 await client.write(data)
 
     async def _read(self, source: IOStream) -> bytes | None:
-        """Reads and delays the next bytes; returns None after a blackhole, which resets the source."""
+        """Reads the next bytes and applies the delay.
+
+        Returns:
+            The bytes, or None if they were read during a blackhole, at whose end the source is reset.
+        """
         data: bytes = await source.read_bytes(READ_SIZE, partial=True)
         if self.faults.hole:
             await self.faults_changed.wait()
@@ -183,26 +199,34 @@
         for link in self.links:
             link.listen()
 
-    def on_command(self, do: dict[str, Any]) -> None:
-        """Executes `injure`, `reset` or `pace`."""
-        selected = [link for link in self.links if _is_selected(link.plan, do)]
-        self.record("told", do=do["do"], links=len(selected))
-        match do["do"]:
+    def on_command(self, command: dict[str, Any]) -> None:
+        """Executes a command of the run.
+
+        `injure` replaces the faults of the selected links, `reset` resets their connections, and `pace` sets
+        the bandwidth limit of the named targets.
+        """
+        selected = [link for link in self.links if _is_selected(link.plan, command)]
+        self.record("told", do=command["do"], links=len(selected))
+        match command["do"]:
             case "injure":
                 for link in selected:
-                    link.inject(LinkFaults(**do["harm"]))
+                    link.inject(LinkFaults(**command["harm"]))
             case "reset":
                 for link in selected:
                     link.reset()
             case "pace":
-                for target in do["targets"]:
-                    self.bandwidth[target].bytes_per_s = float(do["value"])
+                for target in command["targets"]:
+                    self.bandwidth[target].bytes_per_s = float(command["value"])
             case _:
-                raise ValueError(f"unknown order {do['do']!r}")
+                raise ValueError(f"unknown command {command['do']!r} for the links")
 
 
 def _is_selected(plan: LinkPlan, command: dict[str, Any]) -> bool:
-    """Whether a link fits all that a command names: zones, targets, proxies and a zone's border."""
+    """Returns whether a link matches all criteria that the command has.
+
+    `zones`, `targets` and `relays` list what the link must belong to. `across` names a zone and matches links
+    that have exactly one end in it.
+    """
     if "zones" in command and plan.zone not in command["zones"]:
         return False
     if "targets" in command and plan.target not in command["targets"]:
