--- a/gradehoist/testbed/process.py
+++ b/gradehoist/testbed/process.py
@@ -1,4 +1,7 @@
-"""The base of the testbed's processes: a recorder of events, a control port and the lifetime of tasks."""
+"""The base class of the testbed's processes.
+
+It provides an event recorder, a control port for the commands of the run, and ownership of tasks.
+"""
 
 from __future__ import annotations
 
@@ -21,29 +24,30 @@
 
 ENCODER = msgspec.json.Encoder()
 LOOPBACK = "127.0.0.1"
-FLUSH_PERIOD_S = 0.2  # a killed process loses no more of its events than this
+# A process that is killed loses at most the events of this period.
+FLUSH_PERIOD_S = 0.2
 
 
 def read_monotonic_us() -> int:
-    """Returns the machine's monotonic clock, which all processes of a run share."""
+    """Returns the time of the machine's monotonic clock, which all processes of a run share."""
     return time.monotonic_ns() // 1_000
 
 
 def create_random(seed: int, *name: object) -> random.Random:
-    """Creates a random generator for the part of a run that is named, independent of the other parts."""
+    """Creates a random generator for the named part of a run, independent of those of the other parts."""
     return random.Random(zlib.crc32(repr((seed, *name)).encode()))
 
 
 class EventRecorder:
-    """Appends events to a file of JSON lines, each with its time `t` and its name `e`."""
+    """Appends events to a file of JSON lines; `t` is the time of an event and `e` its name."""
 
     def __init__(self, path: Path) -> None:
-        """Opens the file to append to it. Raises OSError."""
+        """Opens the file for appending. Raises OSError."""
         self._file: BinaryIO = path.open("ab")
         self._lines: list[bytes] = []
 
     def __call__(self, event: str, **fields: Any) -> None:
-        """Buffers an event that happened now."""
+        """Buffers an event with the current time."""
         self._lines.append(ENCODER.encode({"t": read_monotonic_us(), "e": event, **fields}))
 
     def flush(self) -> None:
@@ -60,16 +64,16 @@
     """Runs one role of the plan until SIGTERM or SIGINT; each role is a subclass."""
 
     def __init__(self, plan: Plan, role: str, folder: Path) -> None:
-        """Opens the file of the role's events in the folder of the run."""
+        """Opens the event file of the role in the folder of the run."""
         self.plan = plan
         self.role = role
         self.record = EventRecorder(folder / f"{role}.jsonl")
         self.tasks = set[asyncio.Task[Any]]()
         self._stop = asyncio.Event()
 
-    def start_task(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def start_task(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Starts a task that the process owns; if it fails, the process stops."""
-        task: asyncio.Task[Any] = asyncio.ensure_future(work)
+        task: asyncio.Task[Any] = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
         return task
@@ -81,8 +85,8 @@
         error = task.exception()
         if error is None:
             return
-        # The records of a run in which a test double failed are useless: the run must not pass.
-        print(f"{self.role}: {error!r}", file=sys.stderr, flush=True)
+        # The events of a run in which a test double failed can't be relied on, so the run must not pass.
+        print(f"{self.role}: a task failed: {error!r}", file=sys.stderr, flush=True)
         self.record("stand_in_failed", reason=repr(error))
         self._stop.set()
 
@@ -90,7 +94,7 @@
         """Starts the servers and tasks of the role."""
         raise NotImplementedError
 
-    def on_command(self, do: dict[str, Any]) -> None:
+    def on_command(self, command: dict[str, Any]) -> None:
         """Executes a command of the run.
 
         Raises:
@@ -109,7 +113,7 @@
         return ServerResponse(204)
 
     async def run(self) -> None:
-        """Runs until a signal to stop, or until a task fails; then cancels the tasks and flushes events."""
+        """Runs until SIGTERM, SIGINT or the failure of a task; then cancels all tasks and flushes events."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
