--- a/gradehoist/testbed/proxy.py
+++ b/gradehoist/testbed/proxy.py
@@ -1,6 +1,7 @@
-"""Proxies: they admit requests and send them to replicas by the tables of a governor.
+"""Proxies, which admit requests and send them to replicas according to the tables of a governor.
 
-While no governor answers, a proxy keeps the tables that it has; before the first one it uses default tables.
+While no governor responds, a proxy continues with the tables that it has. Until it has received any, it uses
+default tables.
 """
 
 from __future__ import annotations
@@ -21,14 +22,19 @@
 from gradehoist.testbed.scenario_plan import Plan, ProxyPlan, ReplicaPlan, RequestClassPlan
 
 LISTEN_BACKLOG = 1024
-MIN_LOCAL_REPLICAS = 3  # with fewer in its own zone, a default table takes replicas of all zones
+# With fewer allowed replicas in its own zone, a default table is sampled from all zones.
+MIN_LOCAL_REPLICAS = 3
 
 
 @dataclass(frozen=True)
 class Route:
-    """Where a request goes: its cell and generation, and the label of its class in the cell's tables.
+    """Where a request is sent.
 
-    The cell is empty while the tenant migrates and where there are no cells.
+    Attributes:
+        cell: The tenant's cell; empty while the tenant migrates, and if requests are not routed by cell.
+        generation: The generation of the tenant's assignment; 0 if requests are not routed by cell.
+        label: The name of the request class in the tables of the cell.
+        is_migrating: Whether the tenant migrates, so that the request is rejected.
     """
 
     cell: str
@@ -38,10 +44,10 @@
 
 
 class Proxy:
-    """One proxy: its server while it runs, its feed and its attempts."""
+    """One proxy with its server, which exists while the proxy runs, its feed and its attempts."""
 
     def __init__(self, process: Process, plan: ProxyPlan, run_plan: Plan) -> None:
-        """Creates the proxy with default tables; it doesn't run yet."""
+        """Creates the proxy with default tables; `start` starts it."""
         self.classes = {request_class.name: request_class for request_class in run_plan.classes}
         self.context = ProxyContext(
             process=process,
@@ -62,7 +68,7 @@
 
     @property
     def state(self) -> ProxyState:
-        """The tables and limits that it decides by."""
+        """The tables and limits by which it routes and admits requests."""
         return self.context.state
 
     def _reset(self) -> None:
@@ -74,7 +80,11 @@
         self.state.install_default_tables(tables)
 
     def _sample_default_table(self, request_class: RequestClassPlan) -> dict[str, float]:
-        """Samples a few listed replicas that may serve the class, of its own zone if there are enough."""
+        """Returns a table of replicas that may serve the class.
+
+        They are a sample of the listed ones, from the proxy's own zone if it has enough of them. With
+        `even_weights` the table holds all listed ones, weighted by size.
+        """
         run_plan = self.context.run_plan
         allowed = [r for r in run_plan.replicas if r.is_listed and self._is_allowed(request_class, r)]
         if run_plan.even_weights:
@@ -92,7 +102,7 @@
         return not request_class.zone_local or replica.zone == self.plan.zone
 
     def start(self) -> None:
-        """Listens and, unless the run is without governors, follows one. Raises OSError."""
+        """Starts to listen, and to follow a governor if the plan says so. Raises OSError."""
         self.server = HttpServer(self.handle)
         self.server.listen(self.plan.port, LOOPBACK, backlog=LISTEN_BACKLOG)
         process = self.context.process
@@ -105,7 +115,7 @@
             ]
 
     def stop(self) -> None:
-        """Stops at once, as a kill does: connections are reset and all state is lost."""
+        """Stops as a killed process does: connections are reset and all state is lost."""
         if self.server is not None:
             self.context.process.record("relay_down", relay=self.plan.name)
             self.server.abort()
@@ -116,7 +126,7 @@
         self._reset()
 
     async def handle(self, request: http.Request, connection: Connection) -> ServerResponse | None:
-        """Handles a client's request; returns None if the client left."""
+        """Handles a request; returns None if the client disconnected."""
         time_us = read_monotonic_us()
         request_class = self.classes.get(http.get_header(request.headers, "x-class") or "")
         if request_class is None:
@@ -144,7 +154,7 @@
         try:
             return await self._send_admitted(routed, load, request, connection, time_us)
         finally:
-            # A change of the limits meanwhile has replaced the limiter.
+            # The limiter may have been replaced since the request was admitted, if the limits changed.
             if self.feed.rate_limiter:
                 self.feed.rate_limiter.finish(tenant, route.cell)
 
@@ -183,7 +193,7 @@
         connection: Connection,
         time_us: int,
     ) -> ServerResponse | None:
-        """Sends a request within the admitted share; its attempts end when the client leaves."""
+        """Sends the request if admission allows it, and cancels its attempts if the client disconnects."""
         admission = self.state.admission_for(routed.label, self.context.run_plan.retry_policy)
         if self.context.random.random() >= admission.admitted_share:
             self._record_rejected(routed, "level")
