--- a/gradehoist/testbed/proxy_attempts.py
+++ b/gradehoist/testbed/proxy_attempts.py
@@ -1,4 +1,8 @@
-"""The attempts of a proxy: it picks replicas by weight, avoids those that fail, and retries by policy."""
+"""Sends the requests of a proxy to replicas, with retries.
+
+Replicas are picked by weight. Those that fail repeatedly are avoided for a time. The retry policy that the
+governor sets decides whether and when a failed attempt is retried.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +16,30 @@
 from gradehoist.testbed.proxy_context import ProxyContext
 from gradehoist.testbed.scenario_plan import RequestClassPlan
 
-MIN_REMAINING_US = 30_000  # with less time left no retry is made
+# With less time left until the deadline, no retry is made.
+MIN_REMAINING_US = 30_000
 MIN_TIMEOUT_S = 0.001
 MAX_RETRIES_BY_POLICY = (0, 1, 1, 2)
-POLICY_RETRY_ON_PROOF = 1  # retries only what provably had no effect
-POLICY_ATTEMPT_TIMEOUT = 2  # from this policy on, attempts before the last have a timeout of their own
-AVOID_JITTER = (0.8, 1.2)  # factors on the time for which a failing replica is avoided
+# This policy retries only attempts that provably had no effect.
+POLICY_RETRY_ON_PROOF = 1
+# From this policy on, every attempt before the last has its own timeout.
+POLICY_ATTEMPT_TIMEOUT = 2
+# Range of the random factor on the time for which a failing replica is avoided.
+AVOID_JITTER = (0.8, 1.2)
 
 
 @dataclass(frozen=True)
 class RoutedRequest:
-    """A request with the cell and the generation that it is routed by; without cells they are empty and 0.
-
-    `label` is the name of its class in the tables of the cell.
+    """A request and its route.
+
+    Attributes:
+        request_id: The id of the client's attempt.
+        request_class: The class of the request.
+        label: The name of the class in the tables of the cell.
+        tenant: The tenant that sent the request.
+        work: The work of the request in milliseconds, as the client's header states it.
+        cell: The cell that serves the tenant; empty if requests are not routed by cell.
+        generation: The generation of the tenant's assignment; 0 if requests are not routed by cell.
     """
 
     request_id: str
@@ -36,7 +51,7 @@
     generation: int
 
     def build_headers(self, proxy: str) -> tuple[tuple[str, str], ...]:
-        """Builds the headers of an attempt."""
+        """Builds the headers of an attempt by the named proxy."""
         return (
             ("x-transaction", self.request_id),
             ("x-relay", proxy),
@@ -50,7 +65,15 @@
 
 @dataclass(frozen=True)
 class Attempt:
-    """One attempt at a request; `may_have_run` says whether an earlier one may have had an effect."""
+    """One attempt at a request.
+
+    Attributes:
+        request: The request.
+        number: The number of the attempt, from 0.
+        replica: The replica that it is sent to.
+        retry_policy: The retry policy of the request.
+        may_have_run: Whether an earlier attempt may have had an effect.
+    """
 
     request: RoutedRequest
     number: int
@@ -71,7 +94,7 @@
     """Sends requests to replicas with the retries that their policy allows."""
 
     def __init__(self, context: ProxyContext) -> None:
-        """Reaches the replicas through the links of the proxy's zone."""
+        """Creates a sender that reaches the replicas through the links of the proxy's zone."""
         self.context = context
         self.replica_ports = {
             link.target: link.port
@@ -82,7 +105,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forgets which replicas failed, as a restart does."""
+        """Clears the counts of failures and the avoided replicas, as a restart would."""
         self.consecutive_failures: dict[str, int] = defaultdict(int)
         self.avoided_until_us: dict[str, int] = {}
 
@@ -95,8 +118,8 @@
     async def send(self, request: RoutedRequest, deadline_us: int, retry_policy: int) -> int:
         """Sends a request with its retries and returns the status for the client.
 
-        The status is 503 only if no attempt may have had an effect, as clients retry after 503 what must
-        never run twice.
+        The status is 503 only if no attempt can have had an effect, because after 503 clients retry even the
+        requests that must not take effect twice.
         """
         tried: set[str] = set()
         max_retries = MAX_RETRIES_BY_POLICY[retry_policy]
@@ -142,11 +165,15 @@
         )
 
     def _pick_replica(self, request: RoutedRequest, tried: set[str]) -> str | None:
-        """Picks a replica of the cell by weight that was not tried yet; retries never leave the cell."""
+        """Picks a replica at random by weight, among those of the cell that have not been tried.
+
+        Retries never leave the cell. Returns None if no replica is left.
+        """
         state = self.context.state
         label = request.label
         if label not in state.table_by_class:
-            label = request.request_class.name  # the cell's table has not come yet: the default table holds
+            # The table of the cell has not been received yet, so the default table applies.
+            label = request.request_class.name
         time_us = read_monotonic_us()
         weights = {
             replica: weight for replica, weight in state.weights_for(label).items() if replica not in tried
@@ -156,7 +183,8 @@
             for replica, weight in weights.items()
             if self.avoided_until_us.get(replica, 0) <= time_us
         }
-        candidates = preferred or weights  # if all are avoided, better one of them than none
+        # If all replicas are avoided, one of them is used nevertheless, as the request would fail otherwise.
+        candidates = preferred or weights
         if not candidates:
             return None
         return self.context.random.choices(list(candidates), list(candidates.values()))[0]
@@ -169,7 +197,7 @@
         return client
 
     async def _send_attempt(self, attempt: Attempt, timeout_us: int) -> AttemptResult:
-        """Sends one attempt and counts how it ended; a cancelled one counts as failed with status 0."""
+        """Sends one attempt and records its result; a cancelled attempt counts as a failure with status 0."""
         replica = attempt.replica
         client = self._client_for(replica)
         load = self.context.replica_loads[replica]
@@ -182,7 +210,8 @@
             response = await client.request("POST", "/work", b"", headers, timeout_s=timeout_s)
             result = _read_result(response)
             if text := http.get_header(response.headers, orca.HEADER_NAME):
-                with contextlib.suppress(ValueError):  # a malformed report must not fail the response
+                # A malformed load report must not fail the attempt.
+                with contextlib.suppress(ValueError):
                     load.report = orca.parse_report(text)
         except ConnectError:
             result = AttemptResult(status=502, proves_no_effect=True)
@@ -202,7 +231,7 @@
         return result
 
     def _count_outcome(self, replica: str, is_success: bool) -> None:
-        """Avoids a replica for a while after so many failures in a row."""
+        """Counts the result; the planned number of consecutive failures makes the proxy avoid the replica."""
         if is_success:
             self.consecutive_failures[replica] = 0
         else:
