--- a/gradehoist/testbed/proxy_context.py
+++ b/gradehoist/testbed/proxy_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a proxy share: its plan, its random generator, its state and its load counters."""
+"""The state that the parts of a proxy share: its plan, random generator, tables and load counters."""
 
 from __future__ import annotations
 
@@ -16,7 +16,14 @@
 
 @dataclass
 class ReplicaLoad:
-    """The attempts at one replica within a reporting period; the time is that of the successful ones."""
+    """The attempts at one replica within a reporting period.
+
+    Attributes:
+        attempts: The number of attempts that ended.
+        failures: The number of those that failed.
+        elapsed_us: The total duration of the successful ones.
+        report: The latest load report of the replica in this period.
+    """
 
     attempts: int = 0
     failures: int = 0
@@ -24,7 +31,7 @@
     report: orca.OrcaReport | None = None
 
     def build_record(self, replica: str) -> feed.ReplicaAttempts:
-        """Builds the replica's part of a load report."""
+        """Builds the entry of a replica in the load report of a proxy."""
         successes = max(1, self.attempts - self.failures)
         return feed.ReplicaAttempts(
             replica,
@@ -37,7 +44,7 @@
 
 @dataclass
 class ClassLoad:
-    """The requests of one class within a reporting period, and how many were not completed."""
+    """The requests of one class within a reporting period, and the number that were not completed."""
 
     requests: int = 0
     incomplete: int = 0
@@ -56,6 +63,6 @@
     class_loads: dict[str, ClassLoad] = field(default_factory=lambda: defaultdict(ClassLoad))
 
     def reset_loads(self) -> None:
-        """Begins a new reporting period. Attempts that run on count for the period in which they began."""
+        """Starts a new reporting period; attempts in flight still count in the one in which they started."""
         self.replica_loads = defaultdict(ReplicaLoad)
         self.class_loads = defaultdict(ClassLoad)
