--- a/gradehoist/testbed/proxy_feed.py
+++ b/gradehoist/testbed/proxy_feed.py
@@ -1,4 +1,4 @@
-"""The feed of a proxy: it follows one governor, applies its messages and sends it load reports."""
+"""The feed of a proxy, which follows one governor, applies its messages and sends it load reports."""
 
 from __future__ import annotations
 
@@ -16,9 +16,11 @@
 
 DECODER: msgspec.json.Decoder[feed.PollResponse] = msgspec.json.Decoder(feed.PollResponse)
 MAX_RESPONSE_BYTES = 1 << 26
-POLL_MARGIN_S = 1.0  # a poll may take so much longer than the governor holds it
+# A poll times out this long after the time for which the governor may hold it.
+POLL_MARGIN_S = 1.0
 REPORT_TIMEOUT_S = 1.0
-REPORT_STATUSES = (204, 409, 503)  # taken, of another epoch, not ready: all expected
+# The expected statuses of load reports: accepted, sent for another epoch, and governor not ready.
+REPORT_STATUSES = (204, 409, 503)
 
 
 def _convert_limits(delta: feed.RateLimitsDelta) -> RateLimits:
@@ -31,12 +33,12 @@
     """Follows the governors of a proxy, one at a time."""
 
     def __init__(self, context: ProxyContext) -> None:
-        """Begins without a stream, at the first governor of the plan."""
+        """Starts without a stream, at the first governor of the plan."""
         self.context = context
         self.reset()
 
     def reset(self) -> None:
-        """Forgets the stream and its rate limits, as a restart does."""
+        """Clears the stream, the rate limits and the choice of the governor, as a restart would."""
         self.rate_limiter: RateLimiter | None = None
         self.epoch = ""
         self.stream = 0
@@ -44,7 +46,11 @@
         self.governor_index = 0
 
     def select_governor(self, name: str, after_reconnect: bool) -> None:
-        """Makes the named governor the next to connect to, or the one after a reconnect."""
+        """Selects the governor to connect to next.
+
+        A proxy that reconnects advances to the next governor of the plan. With `after_reconnect`, the index
+        is set so that this next one is the named governor.
+        """
         index = [governor for governor, _ in self.context.plan.governors].index(name)
         self.governor_index = index - 1 if after_reconnect else index
 
@@ -53,7 +59,7 @@
         return governors[self.governor_index % len(governors)]
 
     async def follow(self) -> NoReturn:
-        """Polls one governor until it fails, then after a random delay the next one."""
+        """Polls one governor until it fails, then continues with the next one after a random delay."""
         limits = http.Limits(max_body_bytes=MAX_RESPONSE_BYTES)
         context = self.context
         while True:
@@ -72,7 +78,7 @@
             await asyncio.sleep(context.random.uniform(*context.run_plan.reconnect_range_us) / 1e6)
 
     async def _poll(self, client: HttpClient, governor: str) -> str:
-        """Polls once and applies the messages; returns why the governor failed, or an empty string."""
+        """Polls once and applies the messages; returns an empty string, or the reason if the poll failed."""
         timeout_s = self.context.run_plan.poll_hold_us / 1e6 + POLL_MARGIN_S
         response = await client.request("GET", self._build_target(), timeout_s=timeout_s)
         if response.status != 200:
@@ -130,7 +136,7 @@
             self.rate_limiter = RateLimiter(limits)
 
     async def report_load(self) -> NoReturn:
-        """Sends a load report each period, while there is a stream."""
+        """Sends a load report every period in which the proxy has a stream."""
         context = self.context
         while True:
             await asyncio.sleep(context.run_plan.load_report_period_us / 1e6)
@@ -160,7 +166,8 @@
             body = ENCODER.encode(report)
             response = await client.request("POST", "/v1/sums", body, timeout_s=REPORT_TIMEOUT_S)
         except (ConnectError, ConnectionLostError, ResponseTimeoutError):
-            return  # a lost report is not repeated: the next one follows
+            # A lost report is not repeated, because the next one follows soon.
+            return
         finally:
             client.close()
         if response.status not in REPORT_STATUSES:
