--- a/gradehoist/testbed/replica.py
+++ b/gradehoist/testbed/replica.py
@@ -1,7 +1,8 @@
-"""Replicas: cores that share their speed among requests, a queue, warming up, and injected faults.
+"""Simulated replicas, with cores shared by the running requests, a queue, a warm-up and injected faults.
 
-Work is timed and not computed: each step of a few milliseconds takes its part from what is left of each
-request. So a dozen replicas fit one process, and a busy machine does not look like a busy replica.
+Work is simulated by the clock and uses no CPU time: each step of a few milliseconds reduces the remaining
+work of each running request. A dozen replicas therefore fit into one process, and load on the machine does
+not appear as load on a replica.
 """
 
 from __future__ import annotations
@@ -18,10 +19,12 @@
 from gradehoist.testbed.replica_job import FencedWrite, Job
 from gradehoist.testbed.scenario_plan import Plan, ReplicaPlan
 
-OVERLOAD_REQUESTS_PER_CORE = 3  # with more requests in flight a replica slows down
-OVERLOAD_SLOWDOWN = 0.03  # share of the speed that each further request per core costs
+# With more requests in flight per core than this, a replica slows down.
+OVERLOAD_REQUESTS_PER_CORE = 3
+# The slowdown factor grows by this for each further request per core.
+OVERLOAD_SLOWDOWN = 0.03
 BUSY_SMOOTHING_S = 0.7  # time constant of the reported utilization
-SERVICE_TIME_SAMPLES = 50  # responses whose mean service time is reported
+SERVICE_TIME_SAMPLES = 50  # number of latest responses whose mean service time is reported
 HEALTH_CHECK_WORK_MS = 5.0
 HEALTH_CHECK_TIMEOUT_S = 2.0
 MAX_WORK_MS = 1e6
@@ -30,38 +33,38 @@
 
 
 class Replica:
-    """One replica: its server while it runs, its work, its faults and its fence."""
+    """One replica with its server, which exists while it runs, its jobs, its faults and its fence."""
 
     def __init__(self, process: Process, plan: ReplicaPlan, run_plan: Plan) -> None:
-        """Creates the replica; it doesn't run yet."""
+        """Creates the replica; `start` starts it."""
         self.process = process
         self.plan = plan
         self.run_plan = run_plan
         self.fenced_classes = {c.name for c in run_plan.classes if c.idempotency == "single"}
         self.random = create_random(run_plan.seed, "fails", plan.name)
-        # A real fence is persisted; here this object outlives the replica's incarnations.
+        # A real replica persists its fence. This one keeps it in memory across its incarnations.
         self.fence = ReplicaFence(plan.name, run_plan.cell_by_replica.get(plan.name, ""))
         self.incarnation_number = 0
         self.server: HttpServer | None = None
-        self.started_us = 0  # 0: warmed up before the run began
+        self.started_us = 0  # 0 if it warmed up before the run began
         self.running: list[Job] = []
         self.waiting: deque[Job] = deque()
         self.connections: set[Connection] = set()
-        self.arrivals: deque[tuple[int, float]] = deque()  # times and work while warming up
+        self.arrivals: deque[tuple[int, float]] = deque()  # time and work of recent arrivals while warming up
         self.slowdown = 1.0
-        self.stolen_share = 0.0  # share of the cores that another program takes
-        self.reported_factor = 1.0  # factor on the true load in its reports
+        self.stolen_share = 0.0  # share of the cores that another program uses
+        self.reported_factor = 1.0  # factor on the actual load in load reports
         self.is_hung = False
-        self.failure_share = 0.0  # share of requests that its release fails
+        self.failure_share = 0.0  # share of requests that the deployed release fails
         self.busy_share = 0.0
         self.report = orca.OrcaReport()
         self.service_times_ms: deque[float] = deque(maxlen=SERVICE_TIME_SAMPLES)
 
-    def start(self, is_cold: bool) -> None:
-        """Starts a new incarnation, warming up if it is cold. Raises OSError if its port is taken."""
+    def start(self, needs_warmup: bool) -> None:
+        """Starts a new incarnation, warming up if needed. Raises OSError if its port is in use."""
         self.fence = self.fence.restarted()
         self.incarnation_number += 1
-        self.started_us = read_monotonic_us() if is_cold else 0
+        self.started_us = read_monotonic_us() if needs_warmup else 0
         self.running = []
         self.waiting = deque()
         self.arrivals.clear()
@@ -70,10 +73,10 @@
         self.failure_share = 0.0
         self.server = HttpServer(self.handle)
         self.server.listen(self.plan.port, LOOPBACK, backlog=LISTEN_BACKLOG)
-        self.process.record("up", replica=self.plan.name, boot=self.incarnation_number, cold=is_cold)
+        self.process.record("up", replica=self.plan.name, boot=self.incarnation_number, cold=needs_warmup)
 
     def stop(self, reason: str) -> None:
-        """Ends the incarnation at once; all work is lost and all connections are reset."""
+        """Ends the incarnation, if one runs, as a kill would: jobs are lost and connections are reset."""
         if self.server is None:
             return
         self.server.abort()
@@ -87,7 +90,7 @@
         self.process.record("down", replica=self.plan.name, reason=reason)
 
     def capacity_share(self, time_us: int) -> float:
-        """The share of its full speed that it has; while warming up it grows linearly to 1."""
+        """Returns the share of the full speed, which grows linearly to 1 during the warm-up."""
         if not self.started_us or self.plan.warmup_us <= 0:
             return 1.0
         progress = (time_us - self.started_us) / self.plan.warmup_us
@@ -96,11 +99,11 @@
 
     @property
     def in_flight(self) -> int:
-        """The jobs that run or wait."""
+        """The number of jobs that run or wait."""
         return len(self.running) + len(self.waiting)
 
     def advance(self, elapsed_s: float) -> None:
-        """Works for so many seconds: takes waiting jobs, and completes those whose work is done."""
+        """Simulates the given time: starts waiting jobs, works on the running ones and completes them."""
         time_us = read_monotonic_us()
         while self.waiting and len(self.running) < self.plan.slots:
             self.running.append(self.waiting.popleft())
@@ -139,7 +142,7 @@
             job.done.set_result(None)
 
     def update_report(self) -> None:
-        """Takes the present load into the report that responses carry."""
+        """Updates the load report that responses carry to the current load."""
         samples = self.service_times_ms
         mean_ms = sum(samples) / len(samples) if samples else 0.0
         self.report = orca.OrcaReport(
@@ -149,8 +152,8 @@
     def _load_headers(self) -> tuple[tuple[str, str], ...]:
         return ((orca.HEADER_NAME, orca.format_report(self.report)),)
 
-    def _add_cold_arrival(self, time_us: int, work_ms: float) -> None:
-        """Counts work that arrives while warming up; too much within the window stops the replica."""
+    def _add_warmup_arrival(self, time_us: int, work_ms: float) -> None:
+        """Counts work that arrives during the warm-up; the replica crashes if the window holds too much."""
         rules = self.run_plan.rules
         self.arrivals.append((time_us, work_ms))
         while self.arrivals[0][0] < time_us - rules.overload_window_us:
@@ -162,7 +165,7 @@
             self.stop("pushed over while cold")
 
     async def handle(self, request: http.Request, connection: Connection) -> ServerResponse | None:
-        """Handles a request; returns None where the connection ends without a response."""
+        """Handles a request; returns None if the connection ends without a response."""
         time_us = read_monotonic_us()
         if connection not in self.connections:
             self._add_connection(connection)
@@ -234,7 +237,7 @@
             boot=self.incarnation_number,
         )
         if capacity_share < 1:
-            self._add_cold_arrival(time_us, work_ms)
+            self._add_warmup_arrival(time_us, work_ms)
             if self.server is None:
                 return None
         if len(self.waiting) >= self.plan.queue_limit:
@@ -254,7 +257,7 @@
     def _check_fence(
         self, job: Job, request: http.Request, time_us: int, headers: tuple[tuple[str, str], ...]
     ) -> ServerResponse | None:
-        """Admits a write at the fence, or returns the response that rejects it."""
+        """Checks a write against the fence; returns None if it may run, otherwise the response to send."""
         write = FencedWrite(
             tenant=http.get_header(request.headers, "x-tenant") or "",
             cell=http.get_header(request.headers, "x-cell") or "",
@@ -289,7 +292,7 @@
         return ServerResponse(200, b"ok", self._load_headers())
 
     def _abandon(self, job: Job) -> None:
-        """Drops a job that waits after its proxy gave up; one that runs continues."""
+        """Drops a waiting job whose proxy disconnected, if the plan says so; a running job continues."""
         if not self.run_plan.drops_abandoned_requests or job not in self.waiting:
             return
         self.waiting.remove(job)
@@ -298,7 +301,7 @@
 
 
 def _parse_work_ms(request: http.Request) -> float | None:
-    """Reads the work of a request; returns None if it is missing or out of range."""
+    """Parses the work of a request; returns None if it is missing, malformed or out of range."""
     try:
         work_ms = float(http.get_header(request.headers, "x-work") or "nan")
     except ValueError:
--- a/gradehoist/testbed/replica_process.py
+++ b/gradehoist/testbed/replica_process.py
@@ -1,4 +1,4 @@
-"""The process that runs the replicas of one zone and executes the run's commands for them."""
+"""The process that runs the replicas of one zone and executes the commands of the run for them."""
 
 from __future__ import annotations
 
@@ -10,15 +10,17 @@
 from gradehoist.testbed.replica import Replica
 from gradehoist.testbed.scenario_plan import Plan
 
-STEP_S = 0.004  # far under any latency objective
-REPORT_JITTER = (0.7, 1.3)  # factors on the period of load reports
+# The period of the simulation, which is far below any latency objective.
+STEP_S = 0.004
+# Range of the random factor on the period of load reports.
+REPORT_JITTER = (0.7, 1.3)
 
 
 class ReplicaProcess(Process):
-    """The replicas of one zone: role `replicas-ZONE`."""
+    """Runs the replicas of one zone; role `replicas-ZONE`."""
 
     def __init__(self, plan: Plan, role: str, folder: Path) -> None:
-        """Creates the replicas of the role's zone."""
+        """Creates the replicas of the zone that the role names."""
         super().__init__(plan, role, folder)
         zone = role.removeprefix("replicas-")
         self.replicas = {
@@ -26,10 +28,10 @@
         }
 
     async def start(self) -> None:
-        """Starts the listed replicas, warmed up, and the time steps of all."""
+        """Starts the listed replicas as warmed up, and the simulation of all replicas."""
         for replica in self.replicas.values():
             if replica.plan.is_listed:
-                replica.start(is_cold=False)
+                replica.start(needs_warmup=False)
             self.start_task(self._update_reports(replica))
         self.start_task(self._advance_replicas())
 
@@ -49,12 +51,17 @@
             await asyncio.sleep(self.plan.replica_report_period_us / 1e6 * random.uniform(*REPORT_JITTER))
             replica.update_report()
 
-    def on_command(self, do: dict[str, Any]) -> None:
-        """Executes a command for each replica that it names: `die`, `start` or a fault."""
-        for name in do["replicas"]:
+    def on_command(self, command: dict[str, Any]) -> None:
+        """Executes a command of the run for each replica that it names.
+
+        `die` stops a replica and `start` restarts it, warming up. The others inject a fault: `slow` a
+        slowdown, `taken` the use of the cores by another program, `shown` a false load report, `fails` a
+        release that fails requests, and `hang` a replica that neither works nor answers health checks.
+        """
+        for name in command["replicas"]:
             replica = self.replicas[name]
-            self.record("told", replica=name, do=do["do"], value=do.get("value"))
-            _execute(replica, do)
+            self.record("told", replica=name, do=command["do"], value=command.get("value"))
+            _execute(replica, command)
 
 
 def _execute(replica: Replica, command: dict[str, Any]) -> None:
@@ -63,7 +70,7 @@
             replica.stop("killed")
         case "start":
             replica.stop("started anew")
-            replica.start(is_cold=True)
+            replica.start(needs_warmup=True)
         case "slow":
             replica.slowdown = float(command["value"])
         case "taken":
@@ -75,4 +82,4 @@
         case "hang":
             replica.is_hung = bool(command["value"])
         case _:
-            raise ValueError(f"unknown order {command['do']!r}")
+            raise ValueError(f"unknown command {command['do']!r} for a replica")
