--- a/gradehoist/testbed/scenario_plan.py
+++ b/gradehoist/testbed/scenario_plan.py
@@ -1,7 +1,8 @@
-"""The plan of one scenario run: everything its processes need, drawn from the scenario and the seed.
+"""The plan of one scenario run, which holds everything that its processes need.
 
-The plan is stored as `plan.json` in the folder of the run and read back by the checkers. Each field that is
-renamed in the code keeps its stored name. Times are in microseconds.
+The plan is derived from the scenario and the seed, stored as `plan.json` in the folder of the run, and read
+again by the checkers. A field whose name differs from the stored one states the stored name. Times are in
+microseconds unless the name of a field says otherwise.
 """
 
 from __future__ import annotations
@@ -12,10 +13,22 @@
 
 
 class ReplicaPlan(msgspec.Struct, frozen=True):
-    """A replica of the fleet.
+    """A replica of the fleet; work is measured in milliseconds on a core of speed 1.
 
-    Work is measured in milliseconds on a core of speed 1. A replica that is not listed at the start replaces
-    another one later. `start_capacity` is the share of its speed with which a replica starts warming up.
+    Attributes:
+        name: The name of the replica.
+        zone: Its zone.
+        kind: Its kind, by which request classes may be restricted.
+        cell: The cell number that the endpoint list states.
+        port: The port that it listens on.
+        cores: The number of its cores.
+        speed: The work that a core completes per millisecond.
+        slots: The number of jobs that may run at a time; further ones wait.
+        queue_limit: The number of waiting jobs from which on requests are rejected.
+        size: The size that the endpoint list states.
+        start_capacity: The share of its speed with which a replica starts to warm up.
+        warmup_us: The duration of the warm-up.
+        is_listed: Whether it runs and is listed at the start; otherwise it replaces another one later.
     """
 
     name: str
@@ -34,7 +47,16 @@
 
 
 class ProxyPlan(msgspec.Struct, frozen=True):
-    """A proxy, and its governors in the order of connecting, by addresses through links of its own."""
+    """A proxy.
+
+    Attributes:
+        name: The name of the proxy.
+        zone: Its zone.
+        port: The port that it listens on.
+        traffic_share: Its share of the requests.
+        governors: Names and addresses of its governors, in the order in which it connects to them. The
+            addresses are those of links that only this proxy uses.
+    """
 
     name: str
     zone: str
@@ -44,7 +66,16 @@
 
 
 class LinkPlan(msgspec.Struct, frozen=True):
-    """A port that carries bytes from `zone` to `target`; `proxy` is set where one proxy owns the link."""
+    """A port that forwards bytes from clients in one zone to a target.
+
+    Attributes:
+        port: The port that the link listens on.
+        zone: The zone of the clients.
+        target: The name of the target.
+        target_zone: The zone of the target.
+        address: The address of the target.
+        proxy: The only proxy that uses the link; empty if all of the zone do.
+    """
 
     port: int
     zone: str
@@ -55,7 +86,23 @@
 
 
 class RequestClassPlan(msgspec.Struct, frozen=True):
-    """A request class: its traffic, its latency objective and deadline, and where it may run."""
+    """A request class.
+
+    Attributes:
+        name: The name of the class.
+        traffic_share: Its share of the requests.
+        work_ms: The mean work of a request, in milliseconds on a core of speed 1.
+        work_variation: The coefficient of variation of the work.
+        latency_objective_us: The time within which a request is to be completed.
+        deadline_us: The time after which the client gives up.
+        priority_weight: The weight of a request that is completed within the objective.
+        late_priority_factor: The factor on that weight if it is completed later.
+        idempotency: Whether a request may be executed twice: `free` if that is harmless, `guarded` if
+            replicas drop a duplicate by its key, `single` if it must not happen.
+        allowed_zones: The zones that may serve the class; None if all may.
+        allowed_kinds: The kinds of replicas that may serve the class; None if all may.
+        zone_local: Whether only replicas of the proxy's zone may serve the class.
+    """
 
     name: str
     traffic_share: float = msgspec.field(name="share")
@@ -72,7 +119,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """A command for the process of a role, sent at a time of the run; role `day` is the runner itself."""
+    """A command that the runner sends to a role at a time of the run; the role `day` is the runner itself."""
 
     at_us: int = msgspec.field(name="at")
     role: str
@@ -80,7 +127,24 @@
 
 
 class SafetyRules(msgspec.Struct, frozen=True):
-    """The limits that the checkers hold a run against."""
+    """The limits that the checkers apply to a run.
+
+    Attributes:
+        drain_grace_us: The time after a governor learns of a drain within which its proxies must stop sending
+            to the replica.
+        warmup_us: The duration of a replica's warm-up.
+        overload_multiple: The multiple of its capacity that may arrive at a warming replica within a window;
+            more work crashes it.
+        overload_window_us: The length of that window.
+        unroutable_limit_us: The longest time for which a proxy's table for a class may be empty although a
+            replica is available.
+        gone_is_advisory: Whether proxies may still send to replicas that are gone from the endpoint list.
+        queue_limit_lines: The number of lines that may wait in the channel.
+        lines_per_s: The stated rate of the channel.
+        message_overhead_lines: The cost of a message in addition to its lines.
+        messages_per_window: The number of messages that a stream may carry within a window; 0 for no limit.
+        message_window_us: The length of that window.
+    """
 
     drain_grace_us: int = msgspec.field(name="grace")
     warmup_us: int = msgspec.field(name="cold_time")
@@ -96,7 +160,14 @@
 
 
 class RateLimitPlan(msgspec.Struct, frozen=True):
-    """The rate limits at one proxy, which the governors' settings state to the proxies."""
+    """The rate limits at one proxy, which governors take from their settings and send to the proxies.
+
+    Attributes:
+        cell_requests_per_s: The request rate of one cell.
+        tenant_requests_per_s: The request rate of one tenant.
+        burst_s: The burst, as the seconds of the rate that may arrive at once.
+        tenant_in_flight: The number of requests of one tenant that may be in flight.
+    """
 
     cell_requests_per_s: float = msgspec.field(name="cell")
     tenant_requests_per_s: float = msgspec.field(name="tenant")
@@ -108,15 +179,28 @@
     """The whole run: fleet, network, traffic, behaviour of clients and proxies, and the steps.
 
     Attributes:
-        governors: name, zone and address of each.
-        control_ports: port of the control interface by role.
-        rate_factors: times and factors on the request rate; it is linear between them.
-        attempt_share: share of the deadline that a client's attempt may take.
-        attempt_factor: multiple of the latency objective that a proxy's attempt may take.
-        handshake_work_ms: work of a replica for each new connection.
+        governors: Name, zone and address of each governor.
+        control_ports: The control port of each role.
+        rate_factors: Times and factors on the request rate, with linear interpolation between them.
+        retries: The number of retries of a client.
+        attempt_share: The share of the deadline that one attempt of a client may take.
+        backoff_us: The time that a client waits before a retry.
+        failures_to_avoid: The consecutive failures after which a proxy avoids a replica; 0 for never.
+        avoid_us: The time for which a proxy avoids a failing replica.
+        retry_policy: The retry policy of proxies while the governor sets none.
+        attempt_factor: The multiple of the latency objective that one attempt of a proxy may take.
+        default_table_size: The number of replicas in a default table.
+        reconnect_range_us: The shortest and the longest delay before a proxy connects to the next governor.
+        report_delay_range_us: The shortest and the longest delay with which a proxy sends a load report.
+        poll_hold_us: The time for which a governor holds a poll.
+        handshake_work_ms: The work of a replica for each new connection.
+        drops_abandoned_requests: Whether replicas drop waiting requests whose proxy disconnected.
+        rejection_proves_no_effect: Whether a replica whose queue is full states that the rejected request
+            had no effect.
         follow_governors: False if the proxies keep their default tables.
-        tenant_shares: names of tenants and their shares of the traffic.
-        even_weights: whether the default tables hold every replica, weighted by its size.
+        tenant_shares: The names of the tenants and their shares of the traffic.
+        cell_by_tenant: The cells of the tenants that are assigned by name.
+        even_weights: Whether the default tables hold every replica, weighted by its size.
     """
 
     name: str
@@ -160,11 +244,11 @@
 
 
 def load_plan(path: str) -> Plan:
-    """Reads a stored plan.
+    """Reads the plan of a run from its file.
 
     Raises:
         OSError: the file can't be read.
-        msgspec.MsgspecError: it is not a plan.
+        msgspec.MsgspecError: the file does not contain a valid plan.
     """
     with open(path, "rb") as file:
         return msgspec.json.decode(file.read(), type=Plan)
