--- a/bench/node.py
+++ b/bench/node.py
@@ -58,7 +58,9 @@
             for n in range(ROUNDS):
                 await asyncio.sleep(0.5)
                 began = time.monotonic()
-                node.discoveries[0].update_member(build_member(f"s-{n}", "leaving", locality="abc"[n % 3]))
+                node.discovery_servers[0].update_member(
+                    build_member(f"s-{n}", "leaving", locality="abc"[n % 3])
+                )
                 await asyncio.gather(*(peer.read_until(f"out=s-{n}") for peer in peers))
                 took.append(time.monotonic() - began)
             assert node.child is not None
--- a/gradehoist/testbed/platform.py
+++ b/gradehoist/testbed/platform.py
@@ -119,16 +119,16 @@
         self.log = folder / "log"
         self.sockets = sockets
         self.settings = settings
-        self.discoveries = [DiscoveryServer(port, members) for port in discovery_ports]
+        self.discovery_servers = [DiscoveryServer(port, members) for port in discovery_ports]
         self.child: subprocess.Popen[bytes] | None = None
 
     def configure(self, discovery_index: int) -> None:
         """Writes the configuration file with the address of the given discovery server."""
-        known_members = list(self.discoveries[0].members.values())
+        known_members = list(self.discovery_servers[0].members.values())
         config = {
             "name": "n1",
             "listen": f"{LOOPBACK}:{self.port}",
-            "discovery": f"{LOOPBACK}:{self.discoveries[discovery_index].port}",
+            "discovery": f"{LOOPBACK}:{self.discovery_servers[discovery_index].port}",
             "seed": "8c1f",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
             "known": {"revision": 1, "complete": True, "members": known_members},
@@ -145,7 +145,7 @@
         Raises:
             AssertionError: no health check succeeded within `TIMEOUT_S`.
         """
-        for discovery in self.discoveries:
+        for discovery in self.discovery_servers:
             await discovery.start()
         self.configure(0)
         began_s = time.monotonic()
--- a/tests/support/node_shell.py
+++ b/tests/support/node_shell.py
@@ -129,7 +129,7 @@
         self.node = NodeProcess(folder, settings, MEMBERS)
         self.node.configure(0)
         self.port, self.path = self.node.port, self.node.path
-        self.scripts = [Script(place.port) for place in self.node.discoveries]
+        self.scripts = [Script(place.port) for place in self.node.discovery_servers]
         self.log = RecordingLog()
         self.service = NodeService(load_config(self.path), self.path, self.log)
 
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -31,7 +31,7 @@
 def test_a_node_serves_watches_a_moved_discovery_and_ends_at_once(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path) as node:
-            first, second = node.discoveries
+            first, second = node.discovery_servers
             proxy = await ProxyStream(node).connect()
             assert "s-0:" in await proxy.read_until("whole=1")
             first.update_member(build_member("s-0", "leaving"))
@@ -69,7 +69,7 @@
 def test_a_silent_discovery_is_watched_again_until_it_answers(tmp_path: Path) -> None:
     async def play() -> None:
         async with running(tmp_path) as node:
-            first, proxy = node.discoveries[0], await ProxyStream(node).connect()
+            first, proxy = node.discovery_servers[0], await ProxyStream(node).connect()
             await proxy.read_until("whole=1")
             first.is_silent = True
             for writer in list(first.watches):
@@ -123,7 +123,7 @@
             answers = await asyncio.gather(*(node.exchange(data, b"error") for data in GARBAGE))
             assert all(a == b"" or a.startswith(b"error ") for a in answers)
             proxy.writer.write(b"ack id=0 seq=x ms=1\r\ndemand id=0 lane=read count=-1 fail=0 over=1\r\n")
-            node.discoveries[0].update_member(build_member("s-2", "leaving"))
+            node.discovery_servers[0].update_member(build_member("s-2", "leaving"))
             await proxy.read_until("out=s-2")
             proxy.writer.write(b"\x01\x02\r\n")  # a protocol error: the connection is closed
             with contextlib.suppress(ConnectionError):
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -253,7 +253,9 @@
             seen = node.log.read_text().count("status: 1 proxy streams, 3 connections")
             await until(lambda: node.log.read_text().count("status: 1 proxy streams, 3 connections") > seen)
             for n in range(3):
-                node.discoveries[0].update_member(build_member(f"s-{n}", "leaving", locality="ab"[n % 2]))
+                node.discovery_servers[0].update_member(
+                    build_member(f"s-{n}", "leaving", locality="ab"[n % 2])
+                )
                 async with asyncio.timeout(5):
                     await proxy.read_until(f"out=s-{n}")
             assert node.child is not None
@@ -426,8 +428,8 @@
 
     async def run() -> None:
         node = NodeProcess(tmp_path, SETTINGS, MEMBERS)
-        first, second = node.discoveries
-        for place in node.discoveries:
+        first, second = node.discovery_servers
+        for place in node.discovery_servers:
             await place.start()
         node.configure(0)
         code = EARLY.format(sign="SIGHUP", importing=importing, old=first.port, new=second.port)
@@ -489,7 +491,7 @@
                     wire.hello(n)
                 else:
                     wire.sock.sendall(b"hello id=")
-            node.discoveries[0].update_member(build_member("s-0", "leaving"))
+            node.discovery_servers[0].update_member(build_member("s-0", "leaving"))
             await first.read_until("out=s-0")
             assert node.child is not None
             node.configure(1)
