--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -58,7 +58,7 @@
     fleet.update_endpoints(make_endpoint(3, "gone"))
     fleet.run(2)
     streams = {r.name: r.stream for r in fleet.proxies}
-    fleet.start_governor("two")  # the proxies keep their tables until they are bound repeated
+    fleet.start_governor("two")  # the proxies keep their tables until they are bound again
     assert all(r.state.weights_for("write") for r in fleet.proxies)
     fleet.connect()
     fleet.run(3)
@@ -274,10 +274,10 @@
     endpoint_list = EndpointList(Identifiers(["x", "y"], ["k"], ["c"]), 5 * SECOND_US)
     saved = endpoint_list.load_cached(50 * SECOND_US, (make_endpoint(1, age_us=SECOND_US),))
     assert endpoint_list.is_stale and saved.endpoints[0].started_us == 0
-    told = endpoint_list.apply(
+    update = endpoint_list.apply(
         51 * SECOND_US, feed.EndpointListUpdate("l", 7, (make_endpoint(1, age_us=2 * SECOND_US),), True)
     )
-    assert told and told.endpoints[0].started_us == 49 * SECOND_US and not endpoint_list.is_stale
+    assert update and update.endpoints[0].started_us == 49 * SECOND_US and not endpoint_list.is_stale
 
 
 def test_a_flapping_endpoint_list_breaks_no_limit_and_all_replicas_return() -> None:
