--- a/gradehoist/testbed/etcd_server.py
+++ b/gradehoist/testbed/etcd_server.py
@@ -171,8 +171,8 @@
 async def run(port: int) -> None:
     """Serves requests and expires leases until SIGTERM or SIGINT."""
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     server, http_server = serve(port)
     while not stop.is_set():
         revision = server.keyspace.revision
--- a/gradehoist/testbed/process.py
+++ b/gradehoist/testbed/process.py
@@ -115,8 +115,8 @@
     async def run(self) -> None:
         """Runs until SIGTERM, SIGINT or the failure of a task; then cancels all tasks and flushes events."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stop.set)
         await self.start()
         control = HttpServer(self._handle_control)
         control.listen(self.plan.control_ports[self.role], LOOPBACK)
--- a/gradehoist/testbed/proxy_context.py
+++ b/gradehoist/testbed/proxy_context.py
@@ -63,6 +63,6 @@
     class_loads: dict[str, ClassLoad] = field(default_factory=lambda: defaultdict(ClassLoad))
 
     def reset_loads(self) -> None:
-        """Starts a new reporting period; attempts in flight still count in the one in which they started."""
+        """Starts a reporting period with new counters; attempts in flight still add to the previous ones."""
         self.replica_loads = defaultdict(ReplicaLoad)
         self.class_loads = defaultdict(ClassLoad)
--- a/gradehoist/testbed/replica.py
+++ b/gradehoist/testbed/replica.py
@@ -50,7 +50,8 @@
         self.running: list[Job] = []
         self.waiting: deque[Job] = deque()
         self.connections: set[Connection] = set()
-        self.arrivals: deque[tuple[int, float]] = deque()  # time and work of recent arrivals while warming up
+        # Time and work in milliseconds of the recent arrivals during the warm-up.
+        self.warmup_arrivals: deque[tuple[int, float]] = deque()
         self.slowdown = 1.0
         self.stolen_share = 0.0  # share of the cores that another program uses
         self.reported_factor = 1.0  # factor on the actual load in load reports
@@ -67,7 +68,7 @@
         self.started_us = read_monotonic_us() if needs_warmup else 0
         self.running = []
         self.waiting = deque()
-        self.arrivals.clear()
+        self.warmup_arrivals.clear()
         self.is_hung = False
         self.slowdown = 1.0
         self.failure_share = 0.0
@@ -108,12 +109,12 @@
         while self.waiting and len(self.running) < self.plan.slots:
             self.running.append(self.waiting.popleft())
         if self.running and not self.is_hung:
-            self._work(time_us, elapsed_s)
+            self._work_on_jobs(time_us, elapsed_s)
         utilization = 0.0 if self.is_hung else min(1.0, len(self.running) / self.plan.cores)
         smoothing = min(1.0, elapsed_s / BUSY_SMOOTHING_S)
         self.busy_share += smoothing * (max(utilization, self.stolen_share) - self.busy_share)
 
-    def _work(self, time_us: int, elapsed_s: float) -> None:
+    def _work_on_jobs(self, time_us: int, elapsed_s: float) -> None:
         cores = self.plan.cores
         excess = max(0.0, self.in_flight / cores - OVERLOAD_REQUESTS_PER_CORE)
         speed = self.plan.speed * self.capacity_share(time_us) * (1 - self.stolen_share)
@@ -155,11 +156,11 @@
     def _add_warmup_arrival(self, time_us: int, work_ms: float) -> None:
         """Counts work that arrives during the warm-up; the replica crashes if the window holds too much."""
         rules = self.run_plan.rules
-        self.arrivals.append((time_us, work_ms))
-        while self.arrivals[0][0] < time_us - rules.overload_window_us:
-            self.arrivals.popleft()
+        self.warmup_arrivals.append((time_us, work_ms))
+        while self.warmup_arrivals[0][0] < time_us - rules.overload_window_us:
+            self.warmup_arrivals.popleft()
         capacity_ms_per_us = self.plan.cores * self.plan.speed * self.capacity_share(time_us) * 1e-3
-        arrived_ms = sum(arrived_ms for _, arrived_ms in self.arrivals)
+        arrived_ms = sum(arrived_ms for _, arrived_ms in self.warmup_arrivals)
         if arrived_ms > rules.overload_multiple * capacity_ms_per_us * rules.overload_window_us:
             self.process.record("fell", replica=self.plan.name)
             self.stop("pushed over while cold")
