--- a/gradehoist/testbed/platform.py
+++ b/gradehoist/testbed/platform.py
@@ -122,7 +122,7 @@
         self.discovery_servers = [DiscoveryServer(port, members) for port in discovery_ports]
         self.child: subprocess.Popen[bytes] | None = None
 
-    def configure(self, discovery_index: int) -> None:
+    def write_config(self, discovery_index: int) -> None:
         """Writes the configuration file with the address of the given discovery server."""
         known_members = list(self.discovery_servers[0].members.values())
         config = {
@@ -147,7 +147,7 @@
         """
         for discovery in self.discovery_servers:
             await discovery.start()
-        self.configure(0)
+        self.write_config(0)
         began_s = time.monotonic()
         with self.log.open("wb") as log:
             self.child = subprocess.Popen(
--- a/tests/support/node_harness.py
+++ b/tests/support/node_harness.py
@@ -133,7 +133,7 @@
 
     def __init__(self, folder: Path, settings: dict[str, Any]) -> None:
         self.node = NodeProcess(folder, settings, MEMBERS)
-        self.node.configure(0)
+        self.node.write_config(0)
         self.port, self.path = self.node.port, self.node.path
         self.discoveries = [ScriptedDiscovery(server.port) for server in self.node.discovery_servers]
         self.log = RecordingLog()
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -41,7 +41,7 @@
             assert node.child is not None
             node.child.send_signal(signal.SIGHUP)
             await wait_until(lambda: "the previous configuration stays" in node.log.read_text())
-            node.configure(1)
+            node.write_config(1)
             for _ in range(3):
                 node.child.send_signal(signal.SIGHUP)
             await wait_until(lambda: second.watches)
@@ -51,7 +51,7 @@
             second.update_member(build_member("s-2", "leaving"))
             await proxy.read_until("out=s-2")
             # Discovery moves back: there must be one watch, not a second one beside the earlier one.
-            node.configure(0)
+            node.write_config(0)
             request_count = len(first.requested_paths)
             node.child.send_signal(signal.SIGHUP)
             await wait_until(lambda: first.watches)
@@ -161,7 +161,7 @@
 def test_a_failure_of_the_policy_ends_the_node_with_its_traceback(tmp_path: Path) -> None:
     """The event loop only logged an exception in a timer callback, and no further step was scheduled."""
     node = NodeProcess(tmp_path, SETTINGS, MEMBERS)
-    node.configure(0)
+    node.write_config(0)
     code = (
         "from gradehoist.policy.planner import Planner\nfrom gradehoist.node.__main__ import main\n"
         "def broken(self, now, events): raise RuntimeError('planted')\n"
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -370,7 +370,7 @@
         client = await connect_bound_proxy(harness)
         first.watches[0].close()
         old_watch = await first.wait_for_watch(1)
-        harness.node.configure(1)
+        harness.node.write_config(1)
         os.kill(os.getpid(), signal.SIGHUP)
         new_watch = await second.wait_for_watch(0)
         new_watch.write(
@@ -402,7 +402,7 @@
         first, second = harness.discoveries
         first.watches[0].write(update_chunk(50, build_member("s-7"), complete=False))
         await wait_until(lambda: "s-7" in harness.service.core.endpoint_list.endpoints)
-        harness.node.configure(1)
+        harness.node.write_config(1)
         os.kill(os.getpid(), signal.SIGHUP)
         (await second.wait_for_watch(0)).write(CHUNKED_RESPONSE_HEAD + update_chunk(3, *MEMBERS[:2]))
         await wait_until(lambda: harness.service.core.endpoint_list._stale_watches)
@@ -416,7 +416,7 @@
 
 def test_a_half_written_file_is_reread_without_a_second_signal(tmp_path: Path) -> None:
     async def scenario(harness: NodeHarness) -> None:
-        harness.node.configure(1)
+        harness.node.write_config(1)
         data = harness.path.read_bytes()
         harness.path.write_bytes(data[:100])
         for _ in range(2):  # both in one iteration of the event loop
@@ -456,7 +456,7 @@
 @pytest.mark.parametrize("importing", [True, False])
 def test_sigterm_before_the_handlers_are_installed_is_a_clean_exit(tmp_path: Path, importing: bool) -> None:
     node = NodeProcess(tmp_path, SETTINGS, MEMBERS)
-    node.configure(0)
+    node.write_config(0)
     code = SIGNAL_AT_STARTUP.format(sign="SIGTERM", importing=importing, old="", new="")
     result = subprocess.run(
         [sys.executable, "-c", code],
@@ -477,7 +477,7 @@
         first, second = node.discovery_servers
         for discovery in node.discovery_servers:
             await discovery.start()
-        node.configure(0)
+        node.write_config(0)
         code = SIGNAL_AT_STARTUP.format(sign="SIGHUP", importing=importing, old=first.port, new=second.port)
         with node.log.open("wb") as log:
             node.child = subprocess.Popen(
@@ -544,7 +544,7 @@
             node.discovery_servers[0].update_member(build_member("s-0", "leaving"))
             await first.read_until("out=s-0")
             assert node.child is not None
-            node.configure(1)
+            node.write_config(1)
             for signal_name in signals:
                 node.child.send_signal(signal.Signals[f"SIG{signal_name}"])
             assert await asyncio.to_thread(node.child.wait, TIMEOUT_S) == 0
