--- a/bench/node.py
+++ b/bench/node.py
@@ -71,7 +71,9 @@
             for n in range(ROUNDS):
                 await asyncio.sleep(0.5)
                 started = time.monotonic()
-                node.discoveries[0].update_member(build_member(f"s-{n}", "leaving", locality="abc"[n % 3]))
+                node.discovery_servers[0].update_member(
+                    build_member(f"s-{n}", "leaving", locality="abc"[n % 3])
+                )
                 await asyncio.gather(*(peer.read_until(f"out=s-{n}") for peer in peers))
                 delays_s.append(time.monotonic() - started)
             assert node.child is not None
--- a/tests/test_node_service.py
+++ b/tests/test_node_service.py
@@ -31,7 +31,7 @@
 def test_a_node_serves_proxies_follows_a_moved_discovery_and_stops_promptly(tmp_path: Path) -> None:
     async def run() -> None:
         async with running(tmp_path) as node:
-            first, second = node.discoveries
+            first, second = node.discovery_servers
             proxy = await ProxyStream(node).connect()
             assert "s-0:" in await proxy.read_until("whole=1")
             first.update_member(build_member("s-0", "leaving"))
@@ -41,7 +41,7 @@
             assert node.child is not None
             node.child.send_signal(signal.SIGHUP)
             await wait_until(lambda: "the previous configuration stays" in node.log.read_text())
-            node.configure(1)
+            node.write_config(1)
             for _ in range(3):
                 node.child.send_signal(signal.SIGHUP)
             await wait_until(lambda: second.watches)
@@ -51,7 +51,7 @@
             second.update_member(build_member("s-2", "leaving"))
             await proxy.read_until("out=s-2")
             # Discovery moves back: there must be one watch, not a second one beside the earlier one.
-            node.configure(0)
+            node.write_config(0)
             request_count = len(first.requested_paths)
             node.child.send_signal(signal.SIGHUP)
             await wait_until(lambda: first.watches)
@@ -69,7 +69,7 @@
 def test_a_watch_on_a_silent_discovery_is_reopened_until_it_answers(tmp_path: Path) -> None:
     async def run() -> None:
         async with running(tmp_path) as node:
-            first, proxy = node.discoveries[0], await ProxyStream(node).connect()
+            first, proxy = node.discovery_servers[0], await ProxyStream(node).connect()
             await proxy.read_until("whole=1")
             first.is_silent = True
             for writer in list(first.watches):
@@ -123,7 +123,7 @@
             responses = await asyncio.gather(*(node.exchange(data, b"error") for data in INVALID_INPUTS))
             assert all(a == b"" or a.startswith(b"error ") for a in responses)
             proxy.writer.write(b"ack id=0 seq=x ms=1\r\ndemand id=0 lane=read count=-1 fail=0 over=1\r\n")
-            node.discoveries[0].update_member(build_member("s-2", "leaving"))
+            node.discovery_servers[0].update_member(build_member("s-2", "leaving"))
             await proxy.read_until("out=s-2")
             proxy.writer.write(b"\x01\x02\r\n")  # a protocol error: the connection is closed
             with contextlib.suppress(ConnectionError):
@@ -161,7 +161,7 @@
 def test_a_failure_of_the_policy_ends_the_node_with_its_traceback(tmp_path: Path) -> None:
     """The event loop only logged an exception in a timer callback, and no further step was scheduled."""
     node = NodeProcess(tmp_path, SETTINGS, MEMBERS)
-    node.configure(0)
+    node.write_config(0)
     code = (
         "from gradehoist.policy.planner import Planner\nfrom gradehoist.node.__main__ import main\n"
         "def broken(self, now, events): raise RuntimeError('planted')\n"
