--- a/gradehoist/coordination/calls.py
+++ b/gradehoist/coordination/calls.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 
 FIRST_BACKOFF_US = 200_000
-"""Backoff after the first failure: much shorter than a session's lifetime, and much longer than a call."""
+"""Backoff after the first failure. It is short compared with a session's lifetime of some seconds, and long
+compared with the duration of a call."""
 
 MAX_DOUBLINGS = 8
 """Bounds the exponent of the backoff. The limit by the session's lifetime is reached well before it."""
@@ -64,7 +65,7 @@
         self._samples = 0
 
     def delay_us(self, failures: int) -> int:
-        """Returns the delay after `failures` failures in a row, with jitter from 0.5 to 1.5 times it."""
+        """Returns the delay after `failures` failures in a row: 0.5 to 1.5 times the exponential backoff."""
         self._samples += 1
         jitter = zlib.crc32(f"{self._seed}:{self._samples}".encode()) / 2**32
         doubled_us = FIRST_BACKOFF_US << min(failures - 1, MAX_DOUBLINGS)
--- a/gradehoist/coordination/election.py
+++ b/gradehoist/coordination/election.py
@@ -17,7 +17,8 @@
 from gradehoist.coordination.records import ELECTIONS_PREFIX, MemberRecord, OwnershipRecord
 
 TAKEOVER_SPREAD = 4
-"""Number of takeover delays over which the claims of the candidates are spread, by their rank."""
+"""Number of takeover delays over which the claims of the candidates are spread by their rank, so that they
+claim one after the other."""
 
 
 @dataclass
--- a/gradehoist/coordination/fallback.py
+++ b/gradehoist/coordination/fallback.py
@@ -36,7 +36,10 @@
     _lost_since_us: int | None = None
 
     def accept(self, now_us: int, token: FencingToken, limits: Mapping[str, float]) -> bool:
-        """Accepts limits that a leader wrote under `token`; returns False if a newer token is known."""
+        """Accepts limits that a leader wrote under `token`; returns False if `token` is outdated.
+
+        A token is outdated if a newer one is known, or another one of the same generation.
+        """
         if compare_tokens(token, self.fencing_token) in (TokenOrder.OLDER, TokenOrder.CONFLICTING):
             return False
         self._advance_ramp(now_us)
--- a/gradehoist/coordination/members.py
+++ b/gradehoist/coordination/members.py
@@ -89,8 +89,8 @@
 
     Attributes:
         own_key: Key of this process' member record.
-        lost_after_us: How long health checks have to fail, or the record has to be missing, before a member
-            counts as unreachable or ended.
+        lost_after_us: How long health checks have to fail before a member counts as unreachable. A member
+            whose record has been missing for as long has ended, unless it responds to health checks.
         check_interval_us: Time from one health check to the next.
         seed: Determines the order of health checks.
         tracked: All members, by the key of their member record.
--- a/gradehoist/coordination/session.py
+++ b/gradehoist/coordination/session.py
@@ -30,7 +30,8 @@
 """Number of renewals within a session's lifetime. Two in a row may fail before the session ends."""
 
 LEAVE_RETRY_US = 1_000_000
-"""Time between two attempts of a process that leaves to end its session."""
+"""Time between the checks whether a process that leaves can end its session. It can't while its last request
+is in flight."""
 
 
 @dataclass(frozen=True)
--- a/gradehoist/coordination/watch_cache.py
+++ b/gradehoist/coordination/watch_cache.py
@@ -28,7 +28,7 @@
 
 
 class StoreRolledBackError(WatchCacheError):
-    """The store contradicts its earlier responses."""
+    """The store contradicts its earlier responses. The message says where."""
 
 
 class WatchCache:
--- a/gradehoist/coordination/writes.py
+++ b/gradehoist/coordination/writes.py
@@ -4,8 +4,8 @@
 
 - If the store accepts it, it is committed.
 - If it is rejected because of a record with its own id, an earlier attempt was committed.
-- If it is rejected because of another commit's record, the watch shows whether its id was ever written. If
-  the watch missed changes meanwhile, the outcome is reported as unknown.
+- If it is rejected because of another commit's record, the watch shows whether a record with its own id was
+  ever written. If the watch missed changes meanwhile, the outcome is reported as unknown and is not guessed.
 """
 
 from __future__ import annotations
@@ -130,7 +130,7 @@
     def abandon(self, next_at_us: int) -> None:
         """Settles all commits after the store was rolled back.
 
-        Commits that may have been sent are unknown, the others are rejected.
+        Commits that may have taken effect are settled as unknown, the others as rejected.
         """
         in_flight = self.schedule.in_flight
         for commit in list(self.pending):
--- a/gradehoist/history/exactly_once.py
+++ b/gradehoist/history/exactly_once.py
@@ -29,7 +29,7 @@
 
 
 def find_fencing_violations(entries: Iterable[HistoryEntry]) -> list[EffectViolation]:
-    """Finds effects at one process whose generation is lower than before, or has a different holder."""
+    """Finds where, at one process, a resource's generation decreases or one generation has two holders."""
     latest: dict[tuple[str, str], Effect] = {}
     violations = []
     for effect in entries:
--- a/gradehoist/history/linearizability.py
+++ b/gradehoist/history/linearizability.py
@@ -28,7 +28,7 @@
 """Bound on the number of configurations at one time. A history without violations has far fewer."""
 
 Configuration = tuple[RecordState, frozenset[int]]
-"""A possible state of the record, and the indices of the operations in flight that led to it."""
+"""A possible state of the record, and the indices of the operations in flight that took place until then."""
 
 
 class TooManyConfigurationsError(HistoryError):
--- a/gradehoist/history/operations.py
+++ b/gradehoist/history/operations.py
@@ -132,7 +132,7 @@
             operations.append(
                 Operation(
                     index=len(operations),
-                    process="store",
+                    process="register",
                     description=f"end of session {session_id}",
                     invoked_us=write.invoked_us,
                     completed_us=math.inf,
--- a/gradehoist/history/recorder.py
+++ b/gradehoist/history/recorder.py
@@ -140,7 +140,7 @@
 
 
 def _observed_by_rejection(request: StoreRequest, records: tuple[Record, ...]) -> tuple[ObservedRecord, ...]:
-    """Returns the records under the commit's keys. Keys without a record do not exist."""
+    """Returns the records under the commit's keys, with version 0 for keys that have none."""
     assert isinstance(request.operation, CommitChanges)
     existing = {record.key for record in records}
     absent = tuple(
--- a/gradehoist/history/records.py
+++ b/gradehoist/history/records.py
@@ -88,7 +88,10 @@
 
 
 class Effect(msgspec.Struct, frozen=True, tag="effect"):
-    """`process` applied the effect `item` under a fencing token. Entries are in the order of effects."""
+    """`process` applied the effect `item` under a fencing token.
+
+    The entries of a process are in the order of its effects.
+    """
 
     time_us: int = msgspec.field(name="t")
     process: str = msgspec.field(name="by")
--- a/gradehoist/membership/service.py
+++ b/gradehoist/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership of a process in its fleet: session, elections, failure detection and log events.
+"""Membership of a process in its fleet: session, elections, failure detection and log events on one clock.
 
 Nothing in this package may interrupt the process' actual work. A coordination store that is unavailable,
 full, slow or rolled back only affects coordination. A bug in this package is logged, and ends nothing but
@@ -81,7 +81,7 @@
         """Create a membership that has not joined. `run` joins the fleet.
 
         Args:
-            settings: The settings of coordination.
+            settings: Where the coordination store is, and the times of coordination.
             identity: Role, name, zone, incarnation and address of this process.
             seed: The seed from the settings for random choices.
             log: Called with the name of a log event, whether it is a warning, and its fields.
--- a/gradehoist/zones/capacity.py
+++ b/gradehoist/zones/capacity.py
@@ -11,7 +11,8 @@
 # The capacity estimate is the traffic divided by the busy share. Below this busy share the quotient is too
 # imprecise to be used.
 MIN_BUSY_SHARE = 0.1
-# Weight of the newest estimate in the moving average, which so follows a change within some seconds.
+# Weight of the newest estimate in the moving average. With it, the average follows the estimates of a healthy
+# zone within some seconds.
 CAPACITY_SMOOTHING = 0.2
 
 
--- a/gradehoist/zones/coordinator.py
+++ b/gradehoist/zones/coordinator.py
@@ -190,7 +190,7 @@
     # Decisions of the leader
 
     def assess_health(self, now_us: int) -> FleetHealth:
-        """Assess all zones. Update their capacity estimates, and since when they have been healthy."""
+        """Assess all zones. Update their capacity estimates and the times since which they are healthy."""
         self.health = self._assessor.assess(now_us)
         reports = self._assessor.fresh_reports(now_us)
         for zone, state in self.health.zones.items():
--- a/gradehoist/zones/evacuation.py
+++ b/gradehoist/zones/evacuation.py
@@ -43,7 +43,8 @@
         generation: Generation of the leader's fencing token.
         leader: Incarnation of the leader that wrote the plan.
         step: Number of steps taken under this generation.
-        zones: Zones that are evacuated, are recovering, or whose relapses still count.
+        zones: Zones that are evacuated or recovering, and those in service whose last evacuation still
+            counts in the wait before a recovery.
         admission_limits: Share of requests that may be admitted, by request class. Classes that are not
             listed are not limited.
     """
@@ -109,7 +110,8 @@
 
     Attributes:
         settle_us: Minimum time from one step to the next.
-        min_healthy_us: How long a zone has to be healthy before its first recovery. Each relapse doubles it.
+        min_healthy_us: How long a zone has to be healthy before its first step of recovery. Each relapse
+            doubles this time.
         max_healthy_us: Upper bound of that doubled time. The relapses of a zone in service no longer count
             once it has been healthy for this time.
     """
--- a/gradehoist/zones/evacuation_steps.py
+++ b/gradehoist/zones/evacuation_steps.py
@@ -153,7 +153,7 @@
         return {zone: evacuation for zone, evacuation in planned.items() if evacuation != IN_SERVICE}
 
     def admission_limits(self) -> dict[str, float]:
-        """Return the admission limits for traffic that exceeds the capacity of the zones in service."""
+        """Return the fleet's admission limits for traffic above the capacity of the zones in service."""
         if all(evacuation.traffic_share >= 1.0 for evacuation in self._evacuations.values()):
             return {}
         demand = dict[str, float]()
--- a/gradehoist/zones/health.py
+++ b/gradehoist/zones/health.py
@@ -2,10 +2,10 @@
 
 Each governor publishes a small report of what it observed, and is called an observer here. The assessment
 weights each report by the observer's traffic, capped at the median of all observers, and takes the weighted
-majority. A governor that reports falsely so changes nothing as long as it has less than half of the weight.
-An observer that sees most other zones fail, while the other observers see them healthy, is itself isolated;
-its observations of other zones are ignored. If most zones fail according to all observers, no single zone is
-at fault.
+majority. As long as a governor that reports falsely has less than half of the weight, it changes nothing. An
+observer that sees most other zones fail, while the other observers see them healthy, is itself isolated. Its
+observations of other zones are ignored. If most zones fail according to all observers, no single zone is at
+fault.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 import msgspec
 
-# Number of attempts below which the share of failures is not evaluated. If a tenth of all attempts fails at
-# random, five failures among 20 are rare.
+# Number of attempts below which the shares of failures and of late responses say nothing and are not
+# evaluated. If a tenth of all attempts fails at random, five failures among 20 are rare.
 MIN_ATTEMPTS = 20.0
-# Number of health checks below which the share of failed ones is not evaluated.
+# Number of health checks below which the share of failed ones says nothing and is not evaluated.
 MIN_HEALTH_CHECKS = 3
 # Share of failures from which a zone counts as failing. Below it, most of the zone's replicas still serve.
 FAILING_SHARE = 0.5
 # Share of late responses from which a zone counts as slow.
 LATE_SHARE = 0.5
-# Share of silent replicas above which a zone counts as failing. The fault of a single replica does not reach
-# it.
+# Share of silent replicas above which a zone counts as failing. It is more than the fault of a single replica
+# brings about.
 SILENT_SHARE = 0.5
 # Share of the observers' weight that is a majority.
 MAJORITY = 0.5
@@ -46,7 +46,7 @@
         failures: Attempts that failed.
         late_responses: Successful attempts that missed the latency objective.
         ready_replicas: Replicas that are ready according to the endpoint list.
-        silent_replicas: Ready replicas whose attempts all failed.
+        silent_replicas: Ready replicas with failed attempts and without a successful one.
         health_checks: Health checks sent to the zone.
         failed_health_checks: Health checks that failed.
         busy_share: Mean busy share of the warm replicas, or a negative value if none reports it.
--- a/gradehoist/zones/warmup_quota.py
+++ b/gradehoist/zones/warmup_quota.py
@@ -44,7 +44,7 @@
     confirmed: Mapping[str, int],
     departed: Collection[str],
 ) -> QuotaAllocation | None:
-    """Return the next allocation in proportion to traffic, or None if it equals the current one.
+    """Return the next allocation in proportion to traffic, or None if it is similar to the current one.
 
     Args:
         current: The allocation in force.
