--- a/gradehoist/coordination/watch_cache.py
+++ b/gradehoist/coordination/watch_cache.py
@@ -97,7 +97,7 @@
         self._check_store(batch.store_id)
         if not self.is_loaded or batch.after_revision > self.revision:
             raise RevisionGapError(
-                f"changes after revision {batch.after_revision} arrived, the cache ends at {self.revision}"
+                f"got changes after revision {batch.after_revision}, but the cache ends at {self.revision}"
             )
         if batch.revision < batch.after_revision:
             raise StaleReadError(
@@ -146,7 +146,7 @@
         if repeated != self.last_events:
             before = _keys(self.last_events)
             raise StoreRolledBackError(
-                f"revision {last_revision} changes {_keys(repeated)}, and changed {before} before"
+                f"revision {last_revision} now changes {_keys(repeated)}, and changed {before} before"
             )
 
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -54,7 +54,7 @@
         result: Committed | CommitRejected | None,
         session_id: str = "",
     ) -> HistoryBuilder:
-        """Appends a commit of the process that its id begins with. Without a result its outcome is open."""
+        """Appends a commit by the process that its id names. Without a result its outcome is unknown."""
         process, _, _ = commit_id.partition(":")
         change = RequestedChange(KEY, expects, session_id)
         invocation = self._invoke(process, at[0], StoreCall.COMMIT)
--- a/tests/test_participant.py
+++ b/tests/test_participant.py
@@ -200,7 +200,7 @@
 
     def test_rejects_a_contradicting_history(self, cache: WatchCache) -> None:
         other_history = batch(6, 9, written(record("c", 7)))
-        with pytest.raises(StoreRolledBackError, match="revision 7 changes c, and changed b before"):
+        with pytest.raises(StoreRolledBackError, match="revision 7 now changes c, and changed b before"):
             cache.apply_batch(other_history)
         with pytest.raises(StoreRolledBackError, match="a at version 6 does not match the known record at 6"):
             cache.load_snapshot(snapshot(9, record("a", 6, b"other")))
--- a/tests/test_zone_evacuation.py
+++ b/tests/test_zone_evacuation.py
@@ -127,7 +127,7 @@
     assert model.share("y") == model.share("z") == 1.0
 
 
-def test_traffic_beyond_the_capacity_of_the_others_is_shed_by_an_admission_limit() -> None:
+def test_traffic_beyond_the_others_capacity_is_shed_by_one_limit_lowest_priority_first() -> None:
     model = Model(capacity_per_s={"x": 200.0, "y": 130.0, "z": 130.0}, unhealthy={"x": ZoneState.FAILING})
 
     model.advance(90)
