--- a/gradehoist/net/client.py
+++ b/gradehoist/net/client.py
@@ -122,7 +122,7 @@
         Raises:
             ConnectError: No connection was established.
             ConnectionLostError: The connection closed before the response was complete, or the response is
-            malformed.
+                malformed.
             ResponseTimeoutError: The response was not complete within `timeout_s`.
         """
         clock = asyncio.get_running_loop().time
--- a/gradehoist/net/etcd_client.py
+++ b/gradehoist/net/etcd_client.py
@@ -1,7 +1,7 @@
 """Calls and watch streams of etcd's v3 API over HTTP.
 
-Errors are classified by whether the outcome of the call is known: a write that was sent and got no response
-may have been carried out.
+An error tells whether the call was carried out only as far as etcd or the network reveals it: a write that
+was sent and got no response may have been carried out.
 """
 
 from __future__ import annotations
--- a/gradehoist/net/listener.py
+++ b/gradehoist/net/listener.py
@@ -30,7 +30,7 @@
             self._start_accepting(server_socket)
 
     def stop(self) -> None:
-        """Closes the server_socket sockets; accepted connections stay open."""
+        """Closes the listening sockets; accepted connections stay open."""
         for server_socket in self._sockets:
             asyncio.get_running_loop().remove_reader(server_socket)
             server_socket.close()
--- a/gradehoist/net/server.py
+++ b/gradehoist/net/server.py
@@ -196,7 +196,11 @@
         await self._write(connection, data)
 
     async def _write(self, connection: Connection, data: bytes) -> None:
-        """Writes the data and waits until it is sent. Raises StreamClosedError, also on a timeout."""
+        """Writes the data and waits until the socket has taken all of it.
+
+        Raises:
+            StreamClosedError: The stream is closed, or the peer did not read the data within `write_s`.
+        """
         try:
             await gen.with_timeout(
                 timedelta(seconds=self._timeouts.write_s),
--- a/gradehoist/node/core.py
+++ b/gradehoist/node/core.py
@@ -119,8 +119,8 @@
         zone = listed.zone
         if zone not in self.identifiers.zones:
             self.malformed.add("endpoint", f"zone {zone!r} is not in the settings")
-            # An unknown zone must not hide the drain or exit of a replica that was listed in a known zone
-            # before.
+            # An unknown zone must not hide the drain or exit of a replica that was listed before in a zone of
+            # the settings.
             known_zone = self._replica_zones.get(listed.replica)
             if known_zone is None:
                 return None
--- a/gradehoist/node/discovery.py
+++ b/gradehoist/node/discovery.py
@@ -67,8 +67,8 @@
     """Parses an endpoint field by field, because a malformed field must not hide a drain.
 
     Returns:
-        The endpoint, or None if the replica's name is missing or contains characters that a push message
-        cannot carry.
+        The endpoint, or None if the replica's name is missing, too long or contains a character that a push
+        message cannot carry.
     """
     if not isinstance(entry, dict):
         return None
@@ -178,4 +178,4 @@
         except (msgspec.DecodeError, ValueError) as error:
             # Keep the updates before the malformed line: a drain among them would otherwise be delayed until
             # the next watch repeats it.
-            raise WatchLostError(f"a malformed line: {error}", updates) from None
+            raise WatchLostError(f"malformed line: {error}", updates) from None
--- a/gradehoist/node/endpoint_list.py
+++ b/gradehoist/node/endpoint_list.py
@@ -31,7 +31,7 @@
 
 
 class _LastUpdate(NamedTuple):
-    """Revision and watch of the last update that changed an endpoint."""
+    """Revision and watch of the update from which an endpoint was last taken."""
 
     revision: int
     watch_id: int
--- a/gradehoist/node/health_checker.py
+++ b/gradehoist/node/health_checker.py
@@ -72,7 +72,7 @@
                 )
             if response is not None and response.body:
                 return outcome, _parse_load(response.body)
-        except ValueError as error:  # the address is missing, or the body is not a load report
+        except ValueError as error:  # the address is missing or invalid, or the body is not a load report
             self._log.write(f"health check of {name}: {error}")
         return outcome, None
 
--- a/gradehoist/node/policy_runner.py
+++ b/gradehoist/node/policy_runner.py
@@ -1,4 +1,4 @@
-"""Runs the steps of the core when timers are due and events are pending, in batches to limit their rate."""
+"""Runs the steps of the core when timers fall due or events arrive; gathers events to limit the step rate."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         self._longest_step_s = 0.0
 
     def schedule(self, delay_s: float = BATCH_DELAY_S) -> None:
-        """Schedules a step to run within `delay_s`."""
+        """Schedules a step in `delay_s`, unless one is scheduled for about that time or earlier."""
         if self._stopping.is_set():
             return
         loop = asyncio.get_running_loop()
--- a/gradehoist/node/proxy_streams.py
+++ b/gradehoist/node/proxy_streams.py
@@ -15,7 +15,7 @@
 from gradehoist.protocol.lines import Acknowledgement, ProxyHello
 
 SECOND_US = 1_000_000
-# A message is overdue this long after a later message to another proxy was acknowledged.
+# A message is overdue this long after a later message to any other proxy was acknowledged.
 OVERDUE_US = 2 * SECOND_US
 # It is also overdue after this silence of its stream if no proxy has acknowledged anything for OVERDUE_US.
 SILENCE_US = 4 * SECOND_US
@@ -96,9 +96,10 @@
     def expire_overdue(self, now_us: int) -> list[UpdateAcknowledged]:
         """Gives up overdue acknowledgements, at most once in SWEEP_PERIOD_US.
 
-        Such messages were lost, or the proxy is cut off. The stream stays joined, messages are still sent on
-        it, and it is not bound again when the proxy resumes. Treating the proxy as having left and joined
-        again caused 21 messages to one proxy within 10 s, because the policy counts messages from the join.
+        The acknowledgements were lost, or the proxy is cut off. The stream stays joined, messages are still
+        sent on it, and it is not bound again when the proxy resumes. Treating the proxy as having left and
+        joined again caused 21 messages to one proxy within 10 s, because the policy counts messages from the
+        join.
 
         Returns:
             For each such stream an event that makes the policy stop counting the lines as queued in the
@@ -123,11 +124,12 @@
     ) -> int | None:
         """Drops the overdue messages of one stream and returns the last revision dropped, or None.
 
-        The channel delivers messages in order: once a later message is acknowledged, an earlier one has left
-        the channel. Before that, a slow channel may still hold the message, and the policy must keep counting
-        its lines as queued. OVERDUE_US is therefore measured from the acknowledgement of a later message.
-        When it was measured from the message's own sending, a queue of 6 s made the lines of 16 of 346
-        streams expire at once, and the queue grew beyond its limit.
+        All messages leave the channel in the order in which they were written: once a later message to any
+        proxy is acknowledged, this one has left the channel. Before that, and as long as any acknowledgements
+        arrive, a slow channel may still hold the message, and the policy must keep counting its lines as
+        queued. OVERDUE_US is therefore measured from the acknowledgement of a later message. When it was
+        measured from the sending of the message itself, a queue of 6 s made the lines of 16 of 346 streams
+        expire at once, and the queue grew too long.
         """
         last_dropped = None
         while stream.unacknowledged:
--- a/gradehoist/node/push_batch.py
+++ b/gradehoist/node/push_batch.py
@@ -98,7 +98,7 @@
         return [stream.proxy for stream in streams]
 
     def messages(self, now_us: int) -> list[OutboundMessage]:
-        """Encodes the batch and records the messages to be acknowledged on their streams."""
+        """Encodes the batch and records on each stream the message that has to be acknowledged."""
         if self._acknowledgement is not None and self._acknowledgement.to_all:
             for proxy in self._streams:
                 self._deltas.setdefault(proxy, [])
@@ -128,8 +128,8 @@
     def _restorations(self, stream: ProxyStream, deltas: list[Delta]) -> tuple[str, ...]:
         """Returns replicas new to the stream's tables that another node may have withdrawn from this proxy.
 
-        A proxy keeps withdrawals when it changes streams. Unless they are ended explicitly, it would avoid
-        those replicas for ever.
+        A proxy keeps withdrawals when it changes streams. Unless they are ended explicitly, it avoids those
+        replicas for ever.
         """
         for delta in deltas:
             if isinstance(delta, WithdrawalDelta | RestorationDelta):
@@ -155,7 +155,7 @@
 
 
 def _relevant_bindings(deltas: list[Delta], bindings: Mapping[int, int]) -> tuple[tuple[int, int], ...]:
-    """Returns the bindings, or none if no delta concerns a table and the message is equal for all proxies."""
+    """Returns the bindings, or none if no delta concerns a table: all proxies then share one message."""
     if any(getattr(delta, "table", None) is not None for delta in deltas):
         return tuple(bindings.items())
     return ()
--- a/gradehoist/node/service.py
+++ b/gradehoist/node/service.py
@@ -198,8 +198,8 @@
     def _reload(self, attempts_left: int = RELOAD_ATTEMPTS) -> None:
         """Reloads the configuration after SIGHUP: the discovery address may have changed.
 
-        An invalid file changes nothing. It may have been read while half written, and the sender does not
-        repeat the signal, so reading it is retried RELOAD_ATTEMPTS times.
+        An invalid file changes nothing. It may have been read while half written, and the sender need not
+        repeat the signal, so reading it is retried up to RELOAD_ATTEMPTS times.
         """
         if self._reload_timer is not None:
             self._reload_timer.cancel()
--- a/gradehoist/protocol/http.py
+++ b/gradehoist/protocol/http.py
@@ -107,7 +107,7 @@
 
 
 def format_response(status: int, body: bytes = b"", headers: Headers = (), keep_alive: bool = True) -> bytes:
-    """Encodes a complete response with its content length.
+    """Encodes a complete response, with a content length unless the status is interim or 204.
 
     Raises:
         ValueError: A header field has an empty name or an invalid value, such as one with a line break.
@@ -121,7 +121,7 @@
 
 
 def format_request(method: str, target: str, host: str, body: bytes = b"", headers: Headers = ()) -> bytes:
-    """Encodes a complete request, with a content length if it has a body.
+    """Encodes a complete request, with a content length if it has a body or its method is POST or PUT.
 
     Raises:
         ValueError: A header field has an empty name or an invalid value, such as one with a line break.
--- a/gradehoist/protocol/line_parser.py
+++ b/gradehoist/protocol/line_parser.py
@@ -24,9 +24,9 @@
 )
 
 MAX_MESSAGE_BYTES = 1 << 20
-MAX_UNIDENTIFIED_BYTES = 4_096  # message size before the peer has joined; a hello is far shorter
+MAX_UNIDENTIFIED_BYTES = 4_096  # largest message before the peer has joined; a hello is far shorter
 _MAX_TEXT_CHARACTERS = 128
-_MAX_NUMBER = 1e9  # as milliseconds several days, and far more than any count of one period
+_MAX_NUMBER = 1e9  # several days in milliseconds, and far more than any count of one period
 _MAX_REVISION = 65_535
 _MAX_PROXY_ID = 65_535
 _MAX_UTILIZATION = 10.0  # a share of the cores; at most about 1, but measured with noise
@@ -105,7 +105,7 @@
     attempts = fields.get_integer("count")
     failures = fields.get_integer("fail")
     if failures > attempts:
-        raise ValueError(f"fail={failures} of count={attempts}")
+        raise ValueError(f"fail={failures} exceeds count={attempts}")
     window_us = fields.get_window_us("over")
     return AttemptOutcomes(
         zone=fields.get_text("site"),
