--- a/gradehoist/net/etcd_client.py
+++ b/gradehoist/net/etcd_client.py
@@ -106,7 +106,11 @@
         return response
 
     def _no_response(self, reason: str, outcome_error: type[CoordinationError]) -> CoordinationError:
-        """Returns the error for a call without a response; if it was still connecting, nothing was sent."""
+        """Returns the error for a call without a response.
+
+        `reason` is Tornado's message, which tells whether the call was still connecting. If so, nothing was
+        sent.
+        """
         error_type = StoreUnavailableError if "connecting" in reason else outcome_error
         return error_type(f"{self.base_url}: {reason}")
 
--- a/gradehoist/node/connections.py
+++ b/gradehoist/node/connections.py
@@ -181,7 +181,9 @@
                 self._core.on_malformed_message(message)
             case _ if connection.has_joined:
                 kind = type(message).__name__.lower()
-                self._core.on_malformed_message(lines.MalformedLine(kind, "not from such a peer"))
+                self._core.on_malformed_message(
+                    lines.MalformedLine(kind, "not allowed for this kind of peer")
+                )
             case _:
                 raise lines.LineProtocolError("no joining")
 
--- a/gradehoist/node/push_contents.py
+++ b/gradehoist/node/push_contents.py
@@ -109,9 +109,9 @@
     def _admission_limit(self, request_class: int, table: int | None) -> Admission | None:
         """Returns the lower of the table's and the common admitted share, with the table's retry policy."""
         common = self._tables.admission.get((None, request_class))
-        own = self._tables.admission.get((table, request_class)) if table is not None else None
-        if own is None:
+        table_limit = self._tables.admission.get((table, request_class)) if table is not None else None
+        if table_limit is None:
             return common
         if common is None:
-            return own
-        return Admission(min(own.admitted_share, common.admitted_share), own.retry_policy)
+            return table_limit
+        return Admission(min(table_limit.admitted_share, common.admitted_share), table_limit.retry_policy)
--- a/gradehoist/node/service.py
+++ b/gradehoist/node/service.py
@@ -217,11 +217,13 @@
 
     def _apply(self, config: NodeConfig) -> None:
         if any(getattr(config, name) != getattr(self.config, name) for name in FIXED_SETTINGS):
-            self.log.write("reload: listen, limits and settings can't change while running; they stay")
-        has_moved = config.discovery != self.config.discovery
+            self.log.write(
+                "reload: listen, limits and settings cannot change at run time; the old values stay"
+            )
+        discovery_changed = config.discovery != self.config.discovery
         self.config = replace(self.config, discovery=config.discovery)
         self.log.write(f"reload: discovery at {config.discovery}")
-        if has_moved:
+        if discovery_changed:
             self.discovery.watch(config.discovery)  # the previous watch stays open until it ends
 
 
--- a/gradehoist/protocol/http_parser.py
+++ b/gradehoist/protocol/http_parser.py
@@ -97,7 +97,7 @@
             if events:
                 return events
             raise
-        self._drop_read_bytes()
+        self._drop_parsed_bytes()
         return events
 
     def receive_eof(self) -> list[Event]:
@@ -315,7 +315,7 @@
             raise ProtocolError(400, "a line that ends without a carriage return")
         return line[:-2]
 
-    def _drop_read_bytes(self) -> None:
+    def _drop_parsed_bytes(self) -> None:
         if self._position:
             del self._buffer[: self._position]
             self._scanned -= self._position
