--- a/gradehoist/node/proxy_streams.py
+++ b/gradehoist/node/proxy_streams.py
@@ -129,7 +129,7 @@
         arrive, a slow channel may still hold the message, and the policy must keep counting its lines as
         queued. OVERDUE_US is therefore measured from the acknowledgement of a later message. When it was
         measured from the sending of the message itself, a queue of 6 s made the lines of 16 of 346 streams
-        expire at once, and the queue grew too long.
+        expire at once, and the queue grew beyond its limit.
         """
         last_dropped = None
         while stream.unacknowledged:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -287,7 +287,8 @@
 
 
 def test_messages_in_a_slow_channel_are_not_overdue() -> None:
-    """Late messages were given up while still queued, and the policy no longer counted their lines."""
+    """The last messages of a slow channel arrive long after the first. They were given up while still queued,
+    and the policy no longer counted their lines."""
     site = Site(proxies=8)
     for proxy in site.proxies:
         proxy.is_stalled = True
