--- a/gradehoist/net/etcd_client.py
+++ b/gradehoist/net/etcd_client.py
@@ -1,7 +1,7 @@
 """Calls and watch streams of etcd's v3 API over HTTP.
 
-Errors are classified by whether the outcome of the call is known: a write that was sent and got no response
-may have been carried out.
+An error tells whether the call was carried out only as far as etcd or the network reveals it: a write that
+was sent and got no response may have been carried out.
 """
 
 from __future__ import annotations
@@ -106,7 +106,11 @@
         return response
 
     def _no_response(self, reason: str, outcome_error: type[CoordinationError]) -> CoordinationError:
-        """Returns the error for a call without a response; if it was still connecting, nothing was sent."""
+        """Returns the error for a call without a response.
+
+        `reason` is Tornado's message, which tells whether the call was still connecting. If so, nothing was
+        sent.
+        """
         error_type = StoreUnavailableError if "connecting" in reason else outcome_error
         return error_type(f"{self.base_url}: {reason}")
 
--- a/gradehoist/node/core.py
+++ b/gradehoist/node/core.py
@@ -112,15 +112,15 @@
         )
 
     def _endpoints(self, listed: Iterable[ListedEndpoint]) -> tuple[Endpoint, ...]:
-        found = (self._endpoint(endpoint) for endpoint in listed)
-        return tuple([endpoint for endpoint in found if endpoint is not None])
+        endpoints = (self._endpoint(endpoint) for endpoint in listed)
+        return tuple([endpoint for endpoint in endpoints if endpoint is not None])
 
     def _endpoint(self, listed: ListedEndpoint) -> Endpoint | None:
         zone = listed.zone
         if zone not in self.identifiers.zones:
             self.malformed.add("endpoint", f"zone {zone!r} is not in the settings")
-            # An unknown zone must not hide the drain or exit of a replica that was listed in a known zone
-            # before.
+            # An unknown zone must not hide the drain or exit of a replica that was listed before in a zone of
+            # the settings.
             known_zone = self._replica_zones.get(listed.replica)
             if known_zone is None:
                 return None
--- a/gradehoist/node/service.py
+++ b/gradehoist/node/service.py
@@ -198,8 +198,8 @@
     def _reload(self, attempts_left: int = RELOAD_ATTEMPTS) -> None:
         """Reloads the configuration after SIGHUP: the discovery address may have changed.
 
-        An invalid file changes nothing. It may have been read while half written, and the sender does not
-        repeat the signal, so reading it is retried RELOAD_ATTEMPTS times.
+        An invalid file changes nothing. It may have been read while half written, and the sender need not
+        repeat the signal, so reading it is retried up to RELOAD_ATTEMPTS times.
         """
         if self._reload_timer is not None:
             self._reload_timer.cancel()
@@ -217,11 +217,13 @@
 
     def _apply(self, config: NodeConfig) -> None:
         if any(getattr(config, name) != getattr(self.config, name) for name in FIXED_SETTINGS):
-            self.log.write("reload: listen, limits and settings can't change while running; they stay")
-        has_moved = config.discovery != self.config.discovery
+            self.log.write(
+                "reload: listen, limits and settings cannot change at run time; the old values stay"
+            )
+        discovery_changed = config.discovery != self.config.discovery
         self.config = replace(self.config, discovery=config.discovery)
         self.log.write(f"reload: discovery at {config.discovery}")
-        if has_moved:
+        if discovery_changed:
             self.discovery.watch(config.discovery)  # the previous watch stays open until it ends
 
 
