--- a/gradehoist/governor/cell_changes.py
+++ b/gradehoist/governor/cell_changes.py
@@ -101,7 +101,7 @@
                     self.latest.record(ChangedAdmission(at, request_class), self.version)
 
     def drop_until(self, version: int) -> None:
-        """Removes the changes up to `version`, which every proxy has been sent."""
+        """Removes the changes up to `version`; the caller makes sure that no proxy is waiting for them."""
         for table in list(self.weights):
             kept = {replica: changed for replica, changed in self.weights[table].items() if changed > version}
             if kept:
--- a/gradehoist/governor/cell_publisher.py
+++ b/gradehoist/governor/cell_publisher.py
@@ -77,7 +77,7 @@
         self._send_withdrawals(now_us)
 
     def maintain_backlog(self) -> None:
-        """Drops changes that have been sent to every proxy; called about once a second."""
+        """Drops changes that no proxy is waiting for any more; called about once a second."""
         self.delivery_queue.drop_delivered()
 
     def migrate_tenant(self, tenant: str, cell: str, generation: int) -> bool:
@@ -127,9 +127,9 @@
         """Introduces proxies that have joined to the policies, those with the most traffic first.
 
         A proxy that joins is sent a table of each cell. The policies are notified of no more proxies at a
-        time than the channel can bind: when a thousand joined at once, every policy planned for all of them
-        at each step, which took ten seconds. Until it is introduced, a proxy is sent withdrawals and keeps
-        the tables that it has.
+        time than the channel can bind: when they were notified of a thousand at once, every policy planned
+        for all of them at each step, and a step took ten seconds. Until it is introduced, a proxy is sent
+        withdrawals and keeps the tables that it has.
         """
         backlogs = self.delivery_queue.backlogs
         class_count = len(self.tables.identifiers.classes)
@@ -171,13 +171,13 @@
         return self.delivery_queue.budget.allows_message(self.channel.count_messages(now_us, proxy))
 
     def _send_ordinary(self, now_us: int, proxy: int) -> bool:
-        """Sends a proxy its next message; returns False if the channel has no capacity now."""
+        """Sends a proxy its next message; returns False if the channel has no room for it in this slot."""
         available_lines = self._available_lines()
         if available_lines <= self.tables.message_overhead_lines and self.channel.waiting_lines:
             return False
         delivery = self.delivery_queue.next_delivery(proxy, urgent=False, available_lines=available_lines)
         if delivery.cost_lines > available_lines and self.channel.waiting_lines:
-            # A message larger than the available capacity is sent once the channel is empty.
+            # A message larger than the available capacity is sent alone, once the channel is empty.
             return False
         self._send(now_us, proxy, delivery)
         self._sent_this_slot.add(proxy)
--- a/gradehoist/governor/cell_stats.py
+++ b/gradehoist/governor/cell_stats.py
@@ -61,7 +61,10 @@
             counters.incomplete += offered.incomplete
 
     def status(self, endpoints: Mapping[str, EndpointRecord]) -> dict[str, dict[str, float]]:
-        """Returns the `cells` object of the HTTP status: by cell its counters, load and headroom."""
+        """Returns the `cells` object of the HTTP status.
+
+        It holds the counters of each cell, the number of its replicas, their mean load and the headroom.
+        """
         return {cell: self._cell_status(cell, endpoints) for cell in self.counters}
 
     def _cell_status(self, cell: str, endpoints: Mapping[str, EndpointRecord]) -> dict[str, float]:
--- a/gradehoist/governor/core.py
+++ b/gradehoist/governor/core.py
@@ -53,8 +53,8 @@
     Attributes:
         epoch: identifier of this run of the governor.
         slot_us: length of a publishing time slot; 0 without cells.
-        has_urgent_change: whether the list reports a draining or gone replica that must not wait for the
-            slot; the service clears it.
+        has_urgent_change: whether a list update reported a replica as draining or gone, which must not wait
+            for the slot; the service clears it.
         endpoints_subscribed: whether the policies want each change of the endpoint list.
         endpoints_requested: whether the policies want the complete list.
         pending_health_checks: replicas to check; the service clears it.
@@ -108,7 +108,8 @@
         """Accepts a proxy's load report.
 
         Raises:
-            RequestRejectedError: the report is invalid, and none of it has been used.
+            RequestRejectedError: the proxy has no stream of this epoch, or the report is invalid. None of the
+                report has been used.
         """
         self._sessions.handle_load_report(report)
         if self.cell_stats:
--- a/gradehoist/governor/core_state.py
+++ b/gradehoist/governor/core_state.py
@@ -155,8 +155,8 @@
     """Returns the channel limits that one policy observes.
 
     Each policy counts only its own unacknowledged lines, and several policies share a message's overhead.
-    So each gets an equal share of the queue, but at least the lines of a message to every proxy: with less,
-    it could not notify all of them. The publisher enforces the limits of the whole channel.
+    Each gets an equal share of the queue, but at least the lines of a message to every proxy: with less, it
+    could notify none of them. The publisher enforces the limits of the whole channel.
     """
     limits = fleet.channel
     if policy_count == 1:
--- a/gradehoist/governor/delivery_queue.py
+++ b/gradehoist/governor/delivery_queue.py
@@ -78,7 +78,7 @@
         self.budget = budget
         self.cells = [CellChanges() for _ in policies]
         self.backlogs: dict[int, ProxyBacklog] = {}  # by proxy, the longest waiting first
-        self.version = 0
+        self.version = 0  # number of orders and migrations so far, in all cells
         self._class_count = policies.class_count
         self._withdrawals = ChangeLog[int]()  # keys are replicas
         self._migrations = ChangeLog[str]()  # keys are tenants
@@ -127,7 +127,7 @@
         self._migrations.record(tenant, self.version)
 
     def drop_delivered(self) -> None:
-        """Drops the changes of one cell that have been sent to every proxy; each call takes the next cell.
+        """Drops the changes of one cell that no proxy is waiting for; each call takes the next cell.
 
         Without this, every weight that ever changed was checked again for each message with its table.
         """
@@ -160,7 +160,8 @@
         """Builds the next message for a proxy; the caller calls `mark_delivered` once it has been queued.
 
         The message holds withdrawals and migrations first, then the cells in the budget's order, as long as
-        they fit into `available_lines`. An ordinary message includes its first cell even if it does not fit.
+        they fit into `available_lines`. An urgent message includes no changes of a cell beyond that; an
+        ordinary message includes its first cell even if it does not fit.
         """
         backlog = self.backlogs[proxy]
         deltas = self._withdrawal_deltas(backlog) + self._migration_deltas(backlog)
@@ -279,8 +280,8 @@
             weights = self.tables.weights.get(table, {})
             deltas += [
                 self.tables.make_weight_delta(table, replica, weights.get(replica, 0.0))
-                for replica, count in changes.weights.get(table, {}).items()
-                if count > since
+                for replica, version in changes.weights.get(table, {}).items()
+                if version > since
             ]
         return deltas
 
--- a/gradehoist/governor/direct_publisher.py
+++ b/gradehoist/governor/direct_publisher.py
@@ -17,7 +17,7 @@
 
 @dataclass
 class PendingMessage:
-    """The deltas that one proxy is sent for the current replies, and the revisions that it acknowledges."""
+    """The deltas for one proxy from the replies of one time, and the revisions to acknowledge with them."""
 
     deltas: list[Delta] = field(default_factory=list)
     cost_lines: float = 0.0
@@ -25,7 +25,10 @@
 
 
 class DirectPublisher(Publisher):
-    """Sends each affected proxy one message for all replies that the policies gave at one time."""
+    """Sends each affected proxy one message for all replies that the policies gave at one time.
+
+    The deltas of a message are in the order in which the policies gave the orders.
+    """
 
     def __init__(self, tables: PublishedTables, channel: Channel, policies: PolicySet, log: EventLog) -> None:
         """Creates a publisher without proxies."""
@@ -40,7 +43,7 @@
         self._affected = {}
 
     def apply(self, policy: int, order: Order) -> bool:
-        """Applies an order that uses the governor's indices; returns False if its proxy has left."""
+        """Applies an order in the governor's indices; returns False if it binds a proxy that has left."""
         if isinstance(order, BindProxy):
             table = self.tables.bind(order.proxy, order.table, order.classes)
             if not table.deltas:
--- a/gradehoist/governor/endpoint_list.py
+++ b/gradehoist/governor/endpoint_list.py
@@ -16,8 +16,8 @@
 from gradehoist.interface import Endpoint, EndpointListKind, EndpointsListed, Phase
 from gradehoist.protocol.feed import EndpointListUpdate, EndpointRecord
 
-# Start times of unlisted replicas are kept until there are this many more than twice the listed replicas,
-# because a replica that is listed again must not appear to have restarted.
+# Start times of unlisted replicas are dropped when there are more start times than twice the listed replicas
+# and this number. A replica that leaves the list and returns must not appear to have restarted.
 EXTRA_START_TIMES = 1_000
 PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
 
@@ -71,7 +71,7 @@
         """Applies an update and returns the event for the policies, or None if it contains no change.
 
         Raises:
-            EndpointListGapError: the update is a delta to another version.
+            EndpointListGapError: the update is a delta since another version.
             InconsistentEndpointListError: the update is a snapshot that contradicts the known list.
         """
         if update.is_snapshot:
@@ -79,7 +79,7 @@
         else:
             if update.incarnation != self.incarnation or update.since_version != self.version:
                 raise EndpointListGapError(
-                    f"delta to version {update.since_version}, known version is {self.version}"
+                    f"delta since version {update.since_version}, known version is {self.version}"
                 )
             if update.version == self.version:
                 return None
@@ -127,7 +127,8 @@
         """
         if update.incarnation == self.incarnation and update.version < self.version:
             raise InconsistentEndpointListError(
-                f"snapshot version {update.version} is older than {self.version}, which stays in use"
+                f"snapshot version {update.version} is older than {self.version} of the same incarnation, "
+                "which stays in use"
             )
         if not update.endpoints and self.endpoints:
             raise InconsistentEndpointListError(
--- a/gradehoist/governor/errors.py
+++ b/gradehoist/governor/errors.py
@@ -2,7 +2,7 @@
 
 
 class GovernorError(Exception):
-    """Base class of all errors of a governor."""
+    """Base class of all errors of a governor; subclasses say what failed and what has to be done."""
 
 
 class RequestRejectedError(GovernorError):
--- a/gradehoist/governor/event_log.py
+++ b/gradehoist/governor/event_log.py
@@ -8,7 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """One event: its name (a noun and a past participle), its fields, and whether it is a warning."""
+    """One event: its name, its fields, and whether it is a warning.
+
+    The name is a noun and a past participle (`proxy_joined`); the fields say what the event concerns and why
+    it happened.
+    """
 
     name: str
     fields: dict[str, Any]
--- a/gradehoist/governor/health_checks.py
+++ b/gradehoist/governor/health_checks.py
@@ -22,7 +22,7 @@
 async def check_health(
     client: HttpClient, target: str, timeout_s: float, semaphore: asyncio.Semaphore
 ) -> HealthCheckResult:
-    """Requests `target` within `timeout_s`, which includes the wait for the semaphore `limit`."""
+    """Requests `target` within `timeout_s`, which includes the wait for `semaphore`."""
     try:
         async with asyncio.timeout(timeout_s), semaphore:
             response = await client.request("GET", target, timeout_s=timeout_s)
--- a/gradehoist/governor/load_reports.py
+++ b/gradehoist/governor/load_reports.py
@@ -58,7 +58,7 @@
         self._period_us = period_us
         self._attempts: dict[_AttemptsKey, _AttemptTotals] = {}
         self._requests: dict[_RequestsKey, _RequestTotals] = {}
-        # The time since when each line is due, in the order in which the lines became due.
+        # The time at which each line became due, the oldest first.
         self._due_since_us: dict[_AttemptsKey | _RequestsKey, int] = {}
         self._next_period_us = now_us + period_us
         self._credit_lines = 0.0
@@ -95,7 +95,10 @@
             self._due_since_us.pop(key, None)
 
     def take_due(self, now_us: int) -> list[AttemptsReported | RequestsOffered]:
-        """Removes and returns the lines that may be passed on now; their windows include waiting time."""
+        """Removes and returns the lines that may be passed on now.
+
+        The window of a line covers its period and the time that it waited.
+        """
         if now_us >= self._next_period_us:
             self._begin_period(now_us)
         self._add_credit(now_us)
--- a/gradehoist/governor/policy_process.py
+++ b/gradehoist/governor/policy_process.py
@@ -28,7 +28,7 @@
 from gradehoist.interface import PolicyConfig
 
 FIRST_REPLY_TIMEOUT_S = 20.0  # includes the start of Python on a loaded machine
-REPLY_TIMEOUT_S = 10.0  # ten times the longest time that one reply of a hundred cells has taken
+REPLY_TIMEOUT_S = 10.0  # ten times the work that a hundred cells together have needed for one answer
 MAX_IDLE_CHECKS = 2  # number of checks without progress after which the child counts as stuck
 MIN_CHECK_INTERVAL_S = 0.05
 CHECKS_PER_GRACE_PERIOD = 4  # so a stuck child is detected within three quarters of the grace period
--- a/gradehoist/governor/proxy_sessions.py
+++ b/gradehoist/governor/proxy_sessions.py
@@ -79,7 +79,8 @@
         """Accepts a proxy's load report.
 
         Raises:
-            RequestRejectedError: the report is invalid, and none of it has been used.
+            RequestRejectedError: the proxy has no stream of this epoch, or the report is invalid. None of the
+                report has been used.
         """
         stream = self._find_stream(report.proxy)
         if stream is None or report.epoch != self._state.epoch:
--- a/gradehoist/governor/publisher.py
+++ b/gradehoist/governor/publisher.py
@@ -149,8 +149,8 @@
     ) -> PricedDeltas:
         """Returns the withdrawals and restorations among the deltas, for a proxy with oversized tables.
 
-        The tables of such a proxy exceed the queue limit. If it waited for a resync that never fits, it would
-        not be notified of any withdrawal.
+        The tables of such a proxy exceed the queue limit, so it keeps the tables that it has. While it waited
+        for a resync that never fitted, it was not notified of any withdrawal.
         """
         if not stream.is_oversized:
             stream.is_oversized = True
--- a/gradehoist/governor/replica_leases.py
+++ b/gradehoist/governor/replica_leases.py
@@ -35,8 +35,8 @@
             directory = self._assignments.directory
             body = _ENCODER.encode((lease_us, directory.heartbeat_assignments()))
             addresses = {replica_address(e) for e in self._core.endpoint_list.endpoints.values()}
-            # Each replica has at most one heartbeat in progress: for a replica that hangs, new ones would
-            # start faster than the old ones time out.
+            # Each replica has at most one heartbeat in progress: heartbeats to a replica that hangs were
+            # started faster than they ended.
             for address in addresses - self._in_flight:
                 self._tasks.start(self.renew(address, body))
             await asyncio.sleep(lease_us / (HEARTBEATS_PER_LEASE * 1e6))
--- a/gradehoist/governor/service.py
+++ b/gradehoist/governor/service.py
@@ -95,7 +95,7 @@
         self._max_clock_lag_s = 0.0  # maximum delay of the clock task since the last status request
 
     async def run(self) -> int:
-        """Serves until `stop` is called or a task fails; returns the exit code.
+        """Serves until `stop` is called, or a task or a policy fails; returns the exit code.
 
         Raises:
             StateError: the state folder can't be used.
@@ -191,7 +191,7 @@
         self._start_tasks(process)
         await self._stopping.wait()
         await self._shut_down(process)
-        self._log.info("governor_stopped", reason="a task failed" if self._has_failed else "requested")
+        self._log.info("governor_stopped", reason="a failure" if self._has_failed else "requested")
         return 1 if self._has_failed else 0
 
     def _start_tasks(self, process: PolicyProcess) -> None:
--- a/gradehoist/governor/stream_monitor.py
+++ b/gradehoist/governor/stream_monitor.py
@@ -38,8 +38,8 @@
     def _remove_unresponsive(self, now_us: int) -> None:
         """Removes proxies that do not poll, and proxies that poll without acknowledging anything.
 
-        Messages that a proxy never acknowledges would count as in flight forever, and would block the weights
-        and restorations of all other proxies.
+        Before the latter were removed, messages that they never acknowledged counted as in flight forever,
+        and the weights and restorations of all other proxies stopped.
         """
         streams = self._publisher.streams
         silent_since_us = now_us - self._fleet.poll_hold_us - self._fleet.silence_limit_us
--- a/gradehoist/governor/tables.py
+++ b/gradehoist/governor/tables.py
@@ -197,7 +197,7 @@
             delta = RestorationDelta(name)
         # The order goes to all proxies, not only to those whose tables contain the replica: with a flapping
         # list its weights may be removed and added again between the two orders, and a proxy that missed the
-        # restoration would never use the replica again.
+        # restoration never used the replica again.
         return TableUpdate(list(self.bindings), delta, 1)
 
     def _set_admission(self, order: SetAdmission) -> TableUpdate:
@@ -206,14 +206,14 @@
         admission = Admission(order.admitted_share, order.retry_policy)
         for request_class in classes:
             self.admission[order.table, request_class] = admission
-        concerned = self.bindings if order.table is None else self.bound_proxies.get(order.table, {})
+        affected = self.bindings if order.table is None else self.bound_proxies.get(order.table, {})
         delta = AdmissionDelta(
             table=order.table,
             classes=tuple(names[request_class] for request_class in classes),
             admitted_share=order.admitted_share,
             retry_policy=order.retry_policy,
         )
-        return TableUpdate(list(concerned), delta, 1)
+        return TableUpdate(list(affected), delta, 1)
 
     def _expand_classes(self, classes: tuple[int, ...]) -> tuple[int, ...]:
         """Returns the classes; an empty tuple means every class."""
--- a/gradehoist/governor/tenant_assignments.py
+++ b/gradehoist/governor/tenant_assignments.py
@@ -44,7 +44,7 @@
             self._core.handle_migration(assignment.tenant, assignment.cell, assignment.generation)
 
     async def accept(self, assignment: TenantAssignment) -> AssignmentAck:
-        """Applies and persists an assignment, and then returns its acknowledgement.
+        """Persists and applies an assignment, and returns its acknowledgement only afterwards.
 
         Raises:
             RequestRejectedError: the assignment can't be persisted; the sender has to repeat it.
--- a/gradehoist/governor/zone_coordination.py
+++ b/gradehoist/governor/zone_coordination.py
@@ -2,7 +2,7 @@
 
 This module writes the governor's health report and, while the governor is the leader, plans and allocations.
 It passes the quotas that the fleet agreed on to the policies. All work happens on the ticks of the
-membership, which also does the I/O.
+membership. This module does no I/O of its own.
 """
 
 from __future__ import annotations
@@ -198,7 +198,7 @@
     def _handle_outcome(self, token: str, outcome: CommitOutcome) -> None:
         """Removes a finished proposal from the pending writes, whatever its outcome."""
         self._pending_writes = {
-            write: pending for write, pending in self._pending_writes.items() if pending != token
+            kind: pending for kind, pending in self._pending_writes.items() if pending != token
         }
 
     def _apply_quotas(self, now_us: int) -> None:
