--- a/tests/test_delivery_queue.py
+++ b/tests/test_delivery_queue.py
@@ -1,4 +1,7 @@
-"""The delivery queue of a governor with cells: proxies end with the current tables."""
+"""The delivery queue of a governor with cells.
+
+After any sequence of orders and messages, each proxy ends with the current tables.
+"""
 
 from __future__ import annotations
 
@@ -124,7 +127,7 @@
                 for c in deliveries.states[proxy].table_by_class
                 for r in deliveries.states[proxy].weights_for(c)
             }
-            # Every message contains all pending withdrawals.
+            # Whatever else is pending, no proxy sends to a withdrawn replica after a message.
             assert not withdrawn & lines
     for _ in range(3):
         for proxy in range(PROXY_COUNT):
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,7 @@
-"""Faults that are injected into real governor processes; `docs/oncall.md` has an entry for the main ones."""
+"""The ten worst faults and others, injected into the real program.
+
+`docs/oncall.md` has an entry for each of the ten.
+"""
 
 from __future__ import annotations
 
@@ -303,6 +306,8 @@
     async def work() -> None:
         async with run_fleet(tmp_path) as (endpoint_list, governor, (proxy,)):
             policy_process_id = (await governor.status())["planner_pid"]
+            # The policy process once ended on this signal before the governor did, and the governor reported
+            # a failed policy.
             os.kill(policy_process_id, signal.SIGTERM)
             await asyncio.sleep(0.3)
             assert governor.process.poll() is None
@@ -399,7 +404,7 @@
             epoch = proxy.epoch
             os.kill(governor.process.pid, signal.SIGSTOP)
             endpoint_list.publish(make_endpoint(1, "draining"))
-            await asyncio.sleep(8.0)  # so long that every stream looks silent
+            await asyncio.sleep(8.0)  # longer than hold time and silence limit: every stream looks silent
             assert proxy.sends_to("w0")  # the proxy keeps its tables
             os.kill(governor.process.pid, signal.SIGCONT)
             assert await wait_until(
--- a/tests/test_governor.py
+++ b/tests/test_governor.py
@@ -58,7 +58,9 @@
     fleet.update_endpoints(make_endpoint(3, "gone"))
     fleet.run(2)
     streams = {r.name: r.stream for r in fleet.proxies}
-    fleet.start_governor("two")  # the proxies keep their tables until they are bound again
+    # The old governor was killed. A poll with its epoch counts as a join, and the proxies keep their tables
+    # until they are bound again.
+    fleet.start_governor("two")
     assert all(r.state.weights_for("write") for r in fleet.proxies)
     fleet.connect()
     fleet.run(3)
@@ -76,7 +78,8 @@
             fleet.now_us, FeedPoll("r0", "x", 1.0, "one", proxy.stream, proxy.applied_seq + 50)
         )
     assert caught.value.status == 409
-    proxy.applied_seq, proxy.is_polling = 0, False  # the proxy has lost its state
+    # The proxy has lost its state, so it is sent one full resync and misses no message.
+    proxy.applied_seq, proxy.is_polling = 0, False
     lines = dict(proxy.state.weights_for("read"))
     proxy.state = ProxyState()
     fleet.connect(proxy)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -403,7 +403,10 @@
 
 
 def test_a_partial_answer_changes_nothing_at_a_proxy_wherever_it_is_cut(tmp_path: Path) -> None:
-    """The answer is cut at each byte, as by a kill; then a governor of a new epoch answers completely."""
+    """The answer is cut at each byte and the connection is reset, as by a kill.
+
+    Then a governor of a new epoch answers completely.
+    """
     plan = build_plan(read_scenario(REPOSITORY / "scenarios" / "short.kdl"), 1)
     plan = msgspec.structs.replace(plan, reconnect_range_us=(0, 0))
     lines = {"w1": 1.0, "w2": 2.5}
