--- a/gradehoist/node/core.py
+++ b/gradehoist/node/core.py
@@ -112,8 +112,8 @@
         )
 
     def _endpoints(self, listed: Iterable[ListedEndpoint]) -> tuple[Endpoint, ...]:
-        found = (self._endpoint(endpoint) for endpoint in listed)
-        return tuple([endpoint for endpoint in found if endpoint is not None])
+        endpoints = (self._endpoint(endpoint) for endpoint in listed)
+        return tuple([endpoint for endpoint in endpoints if endpoint is not None])
 
     def _endpoint(self, listed: ListedEndpoint) -> Endpoint | None:
         zone = listed.zone
