--- a/tests/test_scenario_run.py
+++ b/tests/test_scenario_run.py
@@ -1,4 +1,4 @@
-"""What a scenario run leaves, and how its processes are started and watched."""
+"""Tests of the report and the counts of a scenario run, and of the management of its processes."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from gradehoist.scenario.run_folder import RunFolder
 
 DATA = Path(__file__).parent / "data"
-ENDED_BY_ITSELF = ("this", "--unused")  # the module `this` prints a text and ends
+EXITING_MODULE = ("this", "--unused")  # The module `this` prints a text and exits.
 
 
-def run_to_its_end(folder: Path, name: str) -> ProcessGroup:
+def start_and_wait_for_exit(folder: Path, name: str) -> ProcessGroup:
     processes = ProcessGroup(RunFolder(folder))
-    processes.start(name, *ENDED_BY_ITSELF)
+    processes.start(name, *EXITING_MODULE)
     processes._processes[name].wait(20)
     return processes
 
 
-def test_the_report_of_a_run_holds_its_verdict_and_charts(tmp_path: Path) -> None:
+def test_the_report_of_a_run_contains_its_verdict_and_charts(tmp_path: Path) -> None:
     folder = Path(shutil.copytree(DATA / "run-broken", tmp_path / "run"))
     plan, verdict = check_run_folder(folder)
     page_path = write_report(folder, plan, verdict)
@@ -41,14 +41,14 @@
     assert "c1.1 took effect twice" in page
 
 
-def test_events_of_a_run_are_counted() -> None:
+def test_the_events_of_a_run_are_counted() -> None:
     counts = count_events(load_records(DATA / "run"))
     assert counts == RunCounts(
         requests=24, attempts=16, messages=12, feed_bytes=3_091, rejected=16, lost_streams=4
     )
 
 
-def test_a_process_that_ends_at_its_start_is_an_error_with_the_end_of_its_log(tmp_path: Path) -> None:
+def test_a_process_that_exits_at_its_start_raises_an_error_with_the_end_of_its_log(tmp_path: Path) -> None:
     processes = ProcessGroup(RunFolder(tmp_path))
     (port,) = find_free_ports(1)
     processes.start("roster", "no_such_module")
@@ -58,8 +58,8 @@
     assert caught.value.name == "roster"
 
 
-def test_a_process_that_ends_by_itself_is_an_error_with_its_exit_code(tmp_path: Path) -> None:
-    processes = run_to_its_end(tmp_path, "clients")
+def test_a_process_that_exits_during_the_run_raises_an_error_with_its_exit_code(tmp_path: Path) -> None:
+    processes = start_and_wait_for_exit(tmp_path, "clients")
     with pytest.raises(
         ProcessExitError, match=r"exited unexpectedly with code 0; see clients\.log"
     ) as caught:
@@ -68,5 +68,5 @@
 
 
 @pytest.mark.parametrize("name", ["mover", "release"])
-def test_a_command_that_is_done_is_no_error(tmp_path: Path, name: str) -> None:
-    run_to_its_end(tmp_path, name).check_running()
+def test_a_command_may_exit_during_the_run(tmp_path: Path, name: str) -> None:
+    start_and_wait_for_exit(tmp_path, name).check_running()
