--- a/gradehoist/scenario/checks/channel.py
+++ b/gradehoist/scenario/checks/channel.py
@@ -14,7 +14,7 @@
 from gradehoist.testbed.scenario_plan import SafetyRules
 
 # The times of a message's creation and application are recorded by two processes, each with some delay.
-PACE_TOLERANCE_US = 5_000
+SENDING_RATE_TOLERANCE_US = 5_000
 # The costs are sums of floating-point numbers, which are subject to rounding.
 QUEUE_TOLERANCE_LINES = 1e-6
 
@@ -101,7 +101,7 @@
             ordered = sorted(first_by_message.values(), key=_creation_order)
             self.result.occasions += len(ordered)
             self._check_queue(ordered)
-            self._check_pace(ordered)
+            self._check_sending_rate(ordered)
             if self.context.plan.rules.messages_per_window:
                 self._check_message_rates(ordered)
 
@@ -131,7 +131,7 @@
                     record.time_us, "a message came before its order", [record], proxy=event.proxy
                 )
 
-    def _check_pace(self, ordered: list[AppliedMessage]) -> None:
+    def _check_sending_rate(self, ordered: list[AppliedMessage]) -> None:
         """Checks the times of application against the sending rate, which reveals false times or costs.
 
         The lines that were created since `busy_since_us` and have been applied by now must have been sent in
@@ -150,7 +150,7 @@
                 continue
             sent_lines += self._minimum_cost(applied)
             time_us = applied.record.time_us
-            if time_us + PACE_TOLERANCE_US < busy_since_us + sent_lines / lines_per_s * 1e6:
+            if time_us + SENDING_RATE_TOLERANCE_US < busy_since_us + sent_lines / lines_per_s * 1e6:
                 description = f"{applied.event.governor} writes faster than its stated pace"
                 self.add_violation(time_us, description, [applied.record], proxy=applied.event.proxy)
 
--- a/gradehoist/scenario/checks/overload.py
+++ b/gradehoist/scenario/checks/overload.py
@@ -42,8 +42,8 @@
         match record.event:
             case AttemptArrived(replica=replica, incarnation=incarnation, proxy=proxy, warmth=warmth):
                 if warmth < 1:
-                    is_noticed = self._knows_of_start(proxy, replica, record.time_us)
-                    arrival = Arrival(record=record, attempt=record.event, is_start_known=is_noticed)
+                    is_start_known = self._knows_of_start(proxy, replica, record.time_us)
+                    arrival = Arrival(record=record, attempt=record.event, is_start_known=is_start_known)
                     self.arrivals[replica, incarnation].append(arrival)
             case ReplicaOverloaded():
                 self.crashes.append((record, record.event))
@@ -99,6 +99,6 @@
     def _crashes_near(self, replica: str, time_us: int) -> list[Record]:
         return [
             record
-            for record, death in self.crashes
-            if death.replica == replica and abs(record.time_us - time_us) < CRASH_WINDOW_US
+            for record, crash in self.crashes
+            if crash.replica == replica and abs(record.time_us - time_us) < CRASH_WINDOW_US
         ]
--- a/gradehoist/scenario/faults/replica.py
+++ b/gradehoist/scenario/faults/replica.py
@@ -73,8 +73,8 @@
     replicas = steps.choose_replicas()
     steps.drain_replicas(fault.at_us, replicas)
     # They can't start before the endpoint list has shown them as gone.
-    shortest_us = fault.extra_us + 2 * delays.added_us + delays.ended_us + SECOND_US
-    steps.restart_replicas(fault.at_us + max(fault.duration_us, shortest_us), replicas)
+    min_duration_us = fault.extra_us + 2 * delays.added_us + delays.ended_us + SECOND_US
+    steps.restart_replicas(fault.at_us + max(fault.duration_us, min_duration_us), replicas)
 
 
 def preempt(steps: FaultSteps) -> None:
@@ -107,7 +107,7 @@
 
 
 def degrade_until_crash(steps: FaultSteps) -> None:
-    """Slows replicas down step by step, up to the magnitude, and restarts them `extra_us` later."""
+    """Slows replicas down step by step, up to the magnitude, then stops them for `extra_us`."""
     fault = steps.fault
     replicas = steps.choose_replicas()
     for number in range(1, AGEING_STEPS + 1):
--- a/gradehoist/scenario/processes.py
+++ b/gradehoist/scenario/processes.py
@@ -49,8 +49,8 @@
         deadline_s = asyncio.get_running_loop().time() + START_TIMEOUT_S
         try:
             while True:
-                has_ended = self._processes[name].poll() is not None
-                if has_ended or asyncio.get_running_loop().time() > deadline_s:
+                has_exited = self._processes[name].poll() is not None
+                if has_exited or asyncio.get_running_loop().time() > deadline_s:
                     raise ProcessStartError(name, self._read_log_tail(name))
                 if await _is_responding(client, method, target, body):
                     return
--- a/gradehoist/scenario/runner.py
+++ b/gradehoist/scenario/runner.py
@@ -27,11 +27,10 @@
 PROXY_PREFIX = "relays-"
 # These are started before the governors, which connect to them.
 FIRST_ROLES = ("links", "replicas", "roster")
-SETTLING_TIME_US = (
-    1_500_000  # After the last deadline, for load reports and records that are still on their way.
-)
+# The run continues so long after the last deadline, so that delayed load reports and records still arrive.
+SETTLING_TIME_US = 1_500_000
 STREAM_START_PAUSE_S = 1.0  # The proxies begin their streams before the first request arrives.
-MAX_POLL_INTERVAL_S = 0.1  # Between two checks of the processes and the next step.
+MAX_POLL_INTERVAL_S = 0.1  # The maximum time between two checks of the processes.
 COMMAND_TIMEOUT_S = 5.0
 COMMAND_ACCEPTED_STATUS = 204
 
