--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -190,6 +190,17 @@
     assert last[0] > 0.9
 
 
+def test_an_overload_leaves_all_requests_admitted_while_admission_control_is_disabled() -> None:
+    """The recovery step ran in the overload and was negative, so the admitted share fell without a limit."""
+    config = replace(policy_config(), admission_enabled=False)
+    fleet = running_fleet(9, config=config)
+
+    fleet.run(20, dict.fromkeys(range(9), (6, 3, LoadReport(1.2, 12.0))))
+
+    admitted_shares = [order.admitted_share for order in fleet.orders if isinstance(order, SetAdmission)]
+    assert set(admitted_shares) <= {1.0}
+
+
 def test_an_overloaded_zone_spills_over_though_other_governors_demand_is_unknown() -> None:
     # This governor has one of the fleet's six proxies, in zone 0.
     fleet = running_fleet(proxies=1, config=policy_config((UNRESTRICTED,)))
