--- a/gradehoist/scenario/checks/migrations.py
+++ b/gradehoist/scenario/checks/migrations.py
@@ -41,7 +41,8 @@
     def __init__(self, context: RunContext) -> None:
         """Creates a checker that has seen no writes."""
         super().__init__(context)
-        self.effects: dict[str, list[Write]] = defaultdict(list)  # By request.
+        # By request, in the order of the first effects.
+        self.effects: dict[str, list[Write]] = defaultdict(list)
         self.completed: list[tuple[Record, RequestCompleted]] = []
 
     def on_record(self, record: Record) -> None:
--- a/gradehoist/scenario/faults/replica.py
+++ b/gradehoist/scenario/faults/replica.py
@@ -6,8 +6,8 @@
 from gradehoist.scenario.faults.steps import BLACKHOLE, CLIENTS_ROLE, REFUSE_CONNECTIONS, FaultSteps
 
 SECOND_US = 1_000_000
-RAMP_STEPS = 4  # The traffic falls in so many steps.
-AGEING_STEPS = 8  # Replicas become slower in so many steps.
+RAMP_STEPS = 4  # The number of steps in which the traffic falls.
+AGEING_STEPS = 8  # The number of steps in which replicas become slower.
 NEIGHBOUR_PERIOD_FACTORS = (0.5, 1.5)  # Factors on the period, so that it is irregular.
 
 
--- a/gradehoist/scenario/faults/traffic.py
+++ b/gradehoist/scenario/faults/traffic.py
@@ -5,7 +5,7 @@
 from gradehoist.scenario.faults.steps import CLIENTS_ROLE, RUNNER_ROLE, FaultSteps
 
 SECOND_US = 1_000_000
-SHIFT_STEPS = 4  # The traffic moves in so many steps.
+SHIFT_STEPS = 4  # The number of steps in which the traffic moves.
 MIN_TRAFFIC_SHARE = 1e-6  # It avoids a division by zero.
 
 
--- a/gradehoist/scenario/report.py
+++ b/gradehoist/scenario/report.py
@@ -14,7 +14,7 @@
 from gradehoist.scenario.counts import RunCounts, count_events
 from gradehoist.testbed.scenario_plan import Plan
 
-COMMAND_LENGTH = 160  # The page shows so many characters of a command.
+COMMAND_LENGTH = 160  # The number of characters of a command that the page shows.
 STYLE = """body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:62em;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.3em .8em;
 border-bottom:1px solid #ddd;text-align:left}
